--- a/bench/quorum.cpp
+++ b/bench/quorum.cpp
@@ -1,6 +1,6 @@
-// The quorum's own figures: what voters send and spend in quiet, how long from a proposal until it counts,
-// how long without a leader after a crash (all in virtual time, over links between regions), and what an
-// append takes on this machine's disk.
+// Benchmark of a Raft group of relays: idle traffic and CPU use of the voters, commit latency, time without a
+// leader after a crash (all in virtual time, with link delays between regions), and write times of the log
+// store on the local disk.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -26,159 +26,163 @@
 using raft::Ready;
 using test_support::SimulatedRaft;
 
-double ms(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
+double to_ms(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
-// Five regions, 20 to 120 ms one way.
+// Link delays between seven regions, 20 to 120 ms one way.
 Duration between_regions(int from, int to) {
-    static constexpr int kLinks[7][7] = {{1, 20, 45, 70, 95, 110, 120}, {20, 1, 30, 60, 85, 100, 110},
-                                         {45, 30, 1, 40, 75, 90, 105},  {70, 60, 40, 1, 50, 65, 80},
-                                         {95, 85, 75, 50, 1, 35, 55},   {110, 100, 90, 65, 35, 1, 25},
-                                         {120, 110, 105, 80, 55, 25, 1}};
-    return std::chrono::milliseconds(kLinks[from][to]);
+    static constexpr int kDelaysMs[7][7] = {{1, 20, 45, 70, 95, 110, 120}, {20, 1, 30, 60, 85, 100, 110},
+                                            {45, 30, 1, 40, 75, 90, 105},  {70, 60, 40, 1, 50, 65, 80},
+                                            {95, 85, 75, 50, 1, 35, 55},   {110, 100, 90, 65, 35, 1, 25},
+                                            {120, 110, 105, 80, 55, 25, 1}};
+    return std::chrono::milliseconds(kDelaysMs[from][to]);
 }
 
-Duration heartbeat = RaftNode::Settings().heartbeat_interval,
-         election = RaftNode::Settings().election_timeout;
-double lost = 0;
-
-SimulatedRaft::Settings world_of(int voters, std::uint64_t seed) {
-    SimulatedRaft::Settings with;
-    with.voters = voters;
-    with.seed = seed;
-    with.link = between_regions;
-    with.jitter = 10ms;
-    with.raft.heartbeat_interval = heartbeat;
-    with.raft.election_timeout = election;
-    with.lost = lost;
-    return with;
+Duration heartbeat_interval = RaftNode::Settings().heartbeat_interval,
+         election_timeout = RaftNode::Settings().election_timeout;
+double loss_share = 0;
+
+SimulatedRaft::Settings settings_for(int voters, std::uint64_t seed) {
+    SimulatedRaft::Settings settings;
+    settings.voters = voters;
+    settings.seed = seed;
+    settings.link_delay = between_regions;
+    settings.link_jitter = 10ms;
+    settings.raft.heartbeat_interval = heartbeat_interval;
+    settings.raft.election_timeout = election_timeout;
+    settings.loss_share = loss_share;
+    return settings;
 }
 
-void print(const char* what, std::vector<double> values, const char* unit) {
-    if (values.empty()) return void(std::printf("%s: none\n", what));
+void print_percentiles(const char* label, std::vector<double> values, const char* unit) {
+    if (values.empty()) return void(std::printf("%s: none\n", label));
     std::sort(values.begin(), values.end());
-    const auto share = [&](double part) {
+    const auto percentile = [&](double fraction) {
         return values[std::min(values.size() - 1,
-                               static_cast<std::size_t>(part * static_cast<double>(values.size())))];
+                               static_cast<std::size_t>(fraction * static_cast<double>(values.size())))];
     };
-    std::printf("%-44s n %5d  median %8.3f  90%% %8.3f  99%% %8.3f  most %8.3f %s\n", what,
-                static_cast<int>(values.size()), share(0.5), share(0.9), share(0.99), values.back(), unit);
+    std::printf("%-44s n %5d  median %8.3f  90%% %8.3f  99%% %8.3f  max %8.3f %s\n", label,
+                static_cast<int>(values.size()), percentile(0.5), percentile(0.9), percentile(0.99),
+                values.back(), unit);
 }
 
-bool until_leader(SimulatedRaft& world) {
-    return world.run_until([&] { return world.leader() && world.node(*world.leader()).heartbeat(); }, 60s);
+bool wait_for_leader(SimulatedRaft& cluster) {
+    return cluster.run_until([&] { return cluster.leader() && cluster.node(*cluster.leader()).heartbeat(); },
+                             60s);
 }
 
-// A frame's head and the headers of IP, UDP or TCP (with time stamps), for each message and for an
-// acknowledgement of it.
-constexpr double kAround = 16 + 52 + 52;
+// Bytes per message beside its contents: the frame header, and the IP and UDP or TCP headers (with
+// timestamps) of the message and of its acknowledgement.
+constexpr double kHeaderBytesPerMessage = 16 + 52 + 52;
 
-int quiet(int voters, Duration span) {
-    SimulatedRaft world(world_of(voters, 1));
-    if (!until_leader(world)) return 1;
-    std::vector<SimulatedRaft::Tally> before;
-    for (int i = 0; i < voters; ++i) before.push_back(world.tally(i));
-    const std::uint64_t term = world.node(*world.leader()).term();
+int run_idle(int voters, Duration span) {
+    SimulatedRaft cluster(settings_for(voters, 1));
+    if (!wait_for_leader(cluster)) return 1;
+    std::vector<SimulatedRaft::Counts> before;
+    for (int i = 0; i < voters; ++i) before.push_back(cluster.counts(i));
+    const std::uint64_t term = cluster.node(*cluster.leader()).term();
     const std::clock_t begin = std::clock();
-    world.run_for(span);
-    const double spent = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
+    cluster.run_for(span);
+    const double cpu_seconds = static_cast<double>(std::clock() - begin) / CLOCKS_PER_SEC;
     const double seconds = std::chrono::duration<double>(span).count();
     for (int i = 0; i < voters; ++i) {
-        const double messages = static_cast<double>(world.tally(i).messages - before[i].messages) / seconds;
-        const double bytes = static_cast<double>(world.tally(i).bytes - before[i].bytes) / seconds;
+        const double messages =
+            static_cast<double>(cluster.counts(i).messages - before[i].messages) / seconds;
+        const double bytes = static_cast<double>(cluster.counts(i).bytes - before[i].bytes) / seconds;
         std::printf(
-            "%d voters, quiet, voter %d%s: %.1f messages/s, %.0f B/s of their own, %.0f B/s with headers\n",
-            voters, i, world.leader() == i ? " (leads)" : "", messages, bytes, bytes + messages * kAround);
+            "%d voters, idle, voter %d%s: %.1f messages/s, %.0f B/s of payload, %.0f B/s with headers\n",
+            voters, i, cluster.leader() == i ? " (leader)" : "", messages, bytes,
+            bytes + messages * kHeaderBytesPerMessage);
     }
     std::uint64_t newest = 0;
-    for (int i = 0; i < voters; ++i) newest = std::max(newest, world.node(i).term());
-    std::printf("%d voters, quiet: %d terms begun without need\n", voters, static_cast<int>(newest - term));
-    std::printf("%d voters, quiet: %.4f%% of a core for each voter, with what plays them\n", voters,
-                100 * spent / seconds / voters);
+    for (int i = 0; i < voters; ++i) newest = std::max(newest, cluster.node(i).term());
+    std::printf("%d voters, idle: %d needless elections\n", voters, static_cast<int>(newest - term));
+    std::printf("%d voters, idle: %.4f%% of a core per voter, including the simulation\n", voters,
+                100 * cpu_seconds / seconds / voters);
     return 0;
 }
 
-int proposals(int voters, int seeds, std::size_t size) {
-    std::vector<double> counted, everywhere;
+int run_proposals(int voters, int seeds, std::size_t size) {
+    std::vector<double> commit_ms, applied_ms;
     for (int seed = 1; seed <= seeds; ++seed) {
-        SimulatedRaft world(world_of(voters, static_cast<std::uint64_t>(seed)));
-        if (!until_leader(world)) return 1;
-        world.run_for(1s);
+        SimulatedRaft cluster(settings_for(voters, static_cast<std::uint64_t>(seed)));
+        if (!wait_for_leader(cluster)) return 1;
+        cluster.run_for(1s);
         for (int i = 0; i < 20; ++i) {
             std::string body = "p" + std::to_string(i) + " ";
             body.resize(size, 'x');
-            const Timestamp given = world.now();
-            if (world.propose(*world.leader(), body) == 0) return 1;
-            if (!world.run_until([&] { return world.committed_at(body).has_value(); }, 10s)) return 1;
-            counted.push_back(ms(*world.committed_at(body) - given));
-            if (!world.run_until([&] { return world.everybody_has(body); }, 10s)) return 1;
-            everywhere.push_back(ms(world.now() - given));
-            world.run_for(97ms);
+            const Timestamp proposed_at = cluster.now();
+            if (cluster.propose(*cluster.leader(), body) == 0) return 1;
+            if (!cluster.run_until([&] { return cluster.committed_at(body).has_value(); }, 10s)) return 1;
+            commit_ms.push_back(to_ms(*cluster.committed_at(body) - proposed_at));
+            if (!cluster.run_until([&] { return cluster.is_applied_by_all(body); }, 10s)) return 1;
+            applied_ms.push_back(to_ms(cluster.now() - proposed_at));
+            cluster.run_for(97ms);
         }
     }
-    std::printf("%d voters, entries of %d bytes, from the proposal on:\n", voters, static_cast<int>(size));
-    print("  until it counts", counted, "ms");
-    print("  until all voters have it as counted", everywhere, "ms");
+    std::printf("%d voters, entries of %d bytes, time from the proposal:\n", voters, static_cast<int>(size));
+    print_percentiles("  until it is committed", commit_ms, "ms");
+    print_percentiles("  until all voters have applied it", applied_ms, "ms");
     return 0;
 }
 
-int elections(int voters, int seeds) {
-    std::vector<double> leads, heartbeats;
+int run_elections(int voters, int seeds) {
+    std::vector<double> new_leader_ms, first_heartbeat_ms;
     int terms = 0;
     for (int seed = 1; seed <= seeds; ++seed) {
-        SimulatedRaft world(world_of(voters, static_cast<std::uint64_t>(seed)));
-        if (!until_leader(world)) return 1;
-        world.run_for(2s + std::chrono::milliseconds(seed * 7 % 150));
-        const int first = *world.leader();
-        const std::uint64_t term = world.node(first).term();
-        const Timestamp crashed = world.now();
-        world.crash(first);
-        if (!world.run_until([&] { return world.leader().has_value(); }, 60s)) return 1;
-        leads.push_back(ms(world.now() - crashed));
-        if (!until_leader(world)) return 1;
-        heartbeats.push_back(ms(world.now() - crashed));
-        terms += static_cast<int>(world.node(*world.leader()).term() - term);
+        SimulatedRaft cluster(settings_for(voters, static_cast<std::uint64_t>(seed)));
+        if (!wait_for_leader(cluster)) return 1;
+        cluster.run_for(2s + std::chrono::milliseconds(seed * 7 % 150));
+        const int first = *cluster.leader();
+        const std::uint64_t term = cluster.node(first).term();
+        const Timestamp crashed_at = cluster.now();
+        cluster.crash(first);
+        if (!cluster.run_until([&] { return cluster.leader().has_value(); }, 60s)) return 1;
+        new_leader_ms.push_back(to_ms(cluster.now() - crashed_at));
+        if (!wait_for_leader(cluster)) return 1;
+        first_heartbeat_ms.push_back(to_ms(cluster.now() - crashed_at));
+        terms += static_cast<int>(cluster.node(*cluster.leader()).term() - term);
     }
-    std::printf("%d voters, from the leader's crash on (%.2f terms each):\n", voters,
+    std::printf("%d voters, time from the leader's crash (%.2f terms each):\n", voters,
                 static_cast<double>(terms) / seeds);
-    print("  until another leads", leads, "ms");
-    print("  until its first beat", heartbeats, "ms");
+    print_percentiles("  until another voter leads", new_leader_ms, "ms");
+    print_percentiles("  until its first heartbeat", first_heartbeat_ms, "ms");
     return 0;
 }
 
-int disk(int appends) {
+int run_disk(int appends) {
     std::string name = (std::filesystem::temp_directory_path() / "bench-quorum-XXXXXX").string();
     if (!::mkdtemp(name.data())) return 1;
     const auto opened = RaftLogStore::open({name});
     RaftLogStore* const store = opened ? opened->store.get() : nullptr;
     LogIndex next = 1;
-    std::vector<double> each;
+    std::vector<double> write_ms;
     const auto write = [&](const Ready& ready) {
         const auto begin = std::chrono::steady_clock::now();
-        const bool good = store->write(ready).has_value();
-        each.push_back(ms(std::chrono::steady_clock::now() - begin));
-        return good;
+        const bool is_written = store->write(ready).has_value();
+        write_ms.push_back(to_ms(std::chrono::steady_clock::now() - begin));
+        return is_written;
     };
     int result = store ? 0 : 1;
     for (const std::size_t size : {std::size_t{200}, std::size_t{4096}, std::size_t{262144}}) {
-        each.clear();
+        write_ms.clear();
         for (int i = 0; i < appends && result == 0; ++i) {
             Ready ready;
             ready.append.push_back({next++, 1, std::string(size, 'x')});
             if (!write(ready)) result = 1;
-            if (next % 100 == 0) {  // so that it stays small
+            if (next % 100 == 0) {  // keeps the log small
                 ready = {};
                 ready.compact = raft::LogSnapshot{next - 1, 1, "state"};
                 if (!store->write(ready)) result = 1;
             }
         }
-        print(("disk, an append of " + std::to_string(size) + " bytes").c_str(), each, "ms");
+        print_percentiles(("disk, append of " + std::to_string(size) + " bytes").c_str(), write_ms, "ms");
     }
-    // A state as large as all keys of the target, of text that zstd makes a fifth of.
+    // A snapshot as large as the state at the target scale; zstd compresses the text to about a fifth.
     std::string state;
     for (std::uint64_t i = 0; state.size() < 64U * 1024 * 1024; ++i)
         state += "tenant/" + std::to_string(i * 2654435761U) +
                  " {\"plan\":\"standard\",\"rate\":" + std::to_string(i % 977) + "}\n";
-    each.clear();
+    write_ms.clear();
     for (int i = 0; i < 5 && result == 0; ++i) {
         Ready ready;
         ready.append.push_back({next++, 1, "x"});
@@ -187,7 +191,7 @@
         ready.compact = raft::LogSnapshot{next - 1, 1, state};
         if (!write(ready)) result = 1;
     }
-    print("disk, a snapshot of 64 MiB", each, "ms");
+    print_percentiles("disk, snapshot of 64 MiB", write_ms, "ms");
     std::filesystem::remove_all(name);
     return result;
 }
@@ -195,27 +199,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"The quorum's own figures"};
+    CLI::App app{"Benchmark of a Raft group of relays"};
     int voters = 5, seeds = 200, appends = 500;
     std::size_t size = 300;
-    std::string what = "all";
-    app.add_option("what", what, "quiet, proposals, elections, disk or all");
+    std::string part = "all";
+    app.add_option("what", part, "quiet, proposals, elections, disk or all");
     app.add_option("--voters", voters)->check(CLI::IsMember({3, 5, 7}));
     app.add_option("--seeds", seeds)->check(CLI::Range(1, 100000));
-    app.add_option("--size", size, "of a proposal, bytes")->check(CLI::Range(8, 1000000));
+    app.add_option("--size", size, "size of a proposal in bytes")->check(CLI::Range(8, 1000000));
     app.add_option("--appends", appends)->check(CLI::Range(1, 100000));
-    int heartbeat_ms = static_cast<int>(ms(heartbeat)), election_ms = static_cast<int>(ms(election));
+    int heartbeat_ms = static_cast<int>(to_ms(heartbeat_interval)),
+        election_ms = static_cast<int>(to_ms(election_timeout));
     app.add_option("--heartbeat", heartbeat_ms, "ms")->check(CLI::Range(1, 10000));
     app.add_option("--election", election_ms, "ms")->check(CLI::Range(10, 100000));
-    app.add_option("--lost", lost, "share of messages")->check(CLI::Range(0.0, 1.0));
+    app.add_option("--lost", loss_share, "share of lost messages, 0 to 1")->check(CLI::Range(0.0, 1.0));
     CLI11_PARSE(app, argc, argv);
-    heartbeat = std::chrono::milliseconds(heartbeat_ms);
-    election = std::chrono::milliseconds(election_ms);
-    const bool all = what == "all";
+    heartbeat_interval = std::chrono::milliseconds(heartbeat_ms);
+    election_timeout = std::chrono::milliseconds(election_ms);
+    const bool all = part == "all";
     int result = 0;
-    if (all || what == "quiet") result |= quiet(voters, 600s);
-    if (all || what == "proposals") result |= proposals(voters, std::min(seeds, 20), size);
-    if (all || what == "elections") result |= elections(voters, seeds);
-    if (all || what == "disk") result |= disk(appends);
+    if (all || part == "quiet") result |= run_idle(voters, 600s);
+    if (all || part == "proposals") result |= run_proposals(voters, std::min(seeds, 20), size);
+    if (all || part == "elections") result |= run_elections(voters, seeds);
+    if (all || part == "disk") result |= run_disk(appends);
     return result;
 }
--- a/src/cluster/raft/election.cpp
+++ b/src/cluster/raft/election.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-constexpr std::uint64_t kSeedMultiplier = 0x9e3779b97f4a7c15U;  // spreads neighbouring seeds (golden ratio)
+constexpr std::uint64_t kSeedMultiplier = 0x9e3779b97f4a7c15U;  // 2^64 / golden ratio: spreads adjacent seeds
 
 }  // namespace
 
 Election::Election(const Settings& settings)
     : settings_(settings),
       random_(settings.seed * kSeedMultiplier + static_cast<std::uint64_t>(settings.self)) {
-    deadline_ = draw(Timestamp{}, settings_.election_timeout, 2 * settings_.election_timeout);
+    deadline_ = random_deadline(Timestamp{}, settings_.election_timeout, 2 * settings_.election_timeout);
 }
 
-Timestamp Election::draw(Timestamp now, Duration from, Duration to) {
-    std::uniform_int_distribution<Duration::rep> spread(0, (to - from).count());
-    return now + from + Duration(spread(random_));
+Timestamp Election::random_deadline(Timestamp now, Duration min_delay, Duration max_delay) {
+    std::uniform_int_distribution<Duration::rep> spread(0, (max_delay - min_delay).count());
+    return now + min_delay + Duration(spread(random_));
 }
 
 bool Election::is_majority(VoterSet voters) const {
@@ -34,23 +34,24 @@
 
 bool Election::has_leader(Timestamp now) const {
     if (role_ == Role::kLeader) return true;
-    // Somewhat less than a time-out, since the first to notice is ahead of the others by the links' delays.
-    const Duration patience = std::max(settings_.election_timeout / 2,
-                                       settings_.election_timeout - 2 * settings_.heartbeat_interval);
-    return leader_ >= 0 && now - heard_leader_at_ < patience;
+    // Less than the election timeout, because the first voter to time out is ahead of the others by the link
+    // delays.
+    const Duration leader_timeout = std::max(settings_.election_timeout / 2,
+                                             settings_.election_timeout - 2 * settings_.heartbeat_interval);
+    return leader_ >= 0 && now - leader_seen_at_ < leader_timeout;
 }
 
 void Election::follow(int leader, Timestamp now) {
     role_ = Role::kFollower;
     leader_ = leader;
     has_yielded_ = false;
-    heard_leader_at_ = now;
-    deadline_ = draw(now, settings_.election_timeout, 2 * settings_.election_timeout);
+    leader_seen_at_ = now;
+    deadline_ = random_deadline(now, settings_.election_timeout, 2 * settings_.election_timeout);
 }
 
 void Election::enter_later_term(Timestamp now) {
     if (role_ != Role::kFollower) {
-        deadline_ = draw(now, settings_.election_timeout, 2 * settings_.election_timeout);
+        deadline_ = random_deadline(now, settings_.election_timeout, 2 * settings_.election_timeout);
     }
     role_ = Role::kFollower;
     leader_ = -1;
@@ -60,7 +61,7 @@
 void Election::step_down(Timestamp now) {
     role_ = Role::kFollower;
     leader_ = -1;
-    deadline_ = draw(now, settings_.election_timeout, 2 * settings_.election_timeout);
+    deadline_ = random_deadline(now, settings_.election_timeout, 2 * settings_.election_timeout);
 }
 
 void Election::begin_pre_vote(Timestamp now) {
@@ -68,17 +69,18 @@
     leader_ = -1;
     votes_ = bit_of(settings_.self);
     rejections_ = 0;
-    reachable_ = ~VoterSet{0};
-    // A pre-vote disturbs nobody, so it is tried again soon: after a round trip between regions.
-    deadline_ = draw(now, settings_.election_timeout / 4, settings_.election_timeout / 2);
+    pre_vote_grants_ = ~VoterSet{0};
+    // A pre-vote does not disturb a working leader, so it is retried soon: after a round trip between
+    // regions.
+    deadline_ = random_deadline(now, settings_.election_timeout / 4, settings_.election_timeout / 2);
 }
 
 void Election::begin_vote(Timestamp now) {
-    reachable_ = votes_;
+    pre_vote_grants_ = votes_;
     role_ = Role::kCandidate;
     votes_ = bit_of(settings_.self);
     rejections_ = 0;
-    deadline_ = draw(now, settings_.election_timeout / 2, settings_.election_timeout);
+    deadline_ = random_deadline(now, settings_.election_timeout / 2, settings_.election_timeout);
 }
 
 void Election::become_leader() {
@@ -88,26 +90,27 @@
 
 void Election::add_vote(int from) { votes_ |= bit_of(from); }
 
-// Once it cannot win any more among those that answered the pre-vote, it tries again soon, and candidates not
-// all at the same time.
+// When a majority among the voters that granted the pre-vote is out of reach, retries after a short random
+// delay, so that competing candidates do not all retry at the same time.
 void Election::add_rejection(int from, Timestamp now) {
     rejections_ |= bit_of(from);
-    if (is_majority(votes_ | (reachable_ & ~rejections_))) return;
-    deadline_ = std::min(deadline_, draw(now, Duration{}, settings_.election_timeout / 4));
+    if (is_majority(votes_ | (pre_vote_grants_ & ~rejections_))) return;
+    deadline_ = std::min(deadline_, random_deadline(now, Duration{}, settings_.election_timeout / 4));
 }
 
-// The candidate gets the time to win; of two that ask at the same time, the one with the lower number. Only
-// once, since one that asks and cannot win must not hold the others up.
+// Gives the candidate time to win. Of two voters that request pre-votes at the same time, the one with the
+// lower number goes first. Yields only once, so that a candidate that cannot win does not block the others.
 void Election::yield_to(int candidate, Timestamp now) {
-    const bool is_rival = role_ == Role::kPreCandidate && candidate < settings_.self;
-    if (role_ != Role::kFollower && !is_rival) return;
+    const bool is_competing = role_ == Role::kPreCandidate && candidate < settings_.self;
+    if (role_ != Role::kFollower && !is_competing) return;
     if (std::exchange(has_yielded_, true)) return;
     role_ = Role::kFollower;
-    deadline_ = std::max(deadline_, draw(now, settings_.election_timeout / 2, settings_.election_timeout));
+    deadline_ =
+        std::max(deadline_, random_deadline(now, settings_.election_timeout / 2, settings_.election_timeout));
 }
 
 void Election::on_vote_granted(Timestamp now) {
-    deadline_ = draw(now, settings_.election_timeout, 2 * settings_.election_timeout);
+    deadline_ = random_deadline(now, settings_.election_timeout, 2 * settings_.election_timeout);
 }
 
 }  // namespace linnetlead::raft
--- a/src/cluster/raft/flat_codec.cpp
+++ b/src/cluster/raft/flat_codec.cpp
@@ -12,8 +12,8 @@
 
 using nlohmann::json;
 
-// Takes one array of unsigned numbers and nothing within it, so that hostile input can neither nest deeply
-// nor announce a size that is larger than itself.
+// Accepts one array of unsigned numbers and no nested values, so that hostile input can neither nest deeply
+// nor cause an allocation for a declared size that exceeds the input.
 class NumberArrayHandler : public nlohmann::json_sax<json> {
 public:
     explicit NumberArrayHandler(std::vector<std::uint64_t>& out) : out_(out) {}
--- a/src/cluster/raft/leadership.cpp
+++ b/src/cluster/raft/leadership.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxUnansweredRounds = 256;  // beyond these the oldest is forgotten
+constexpr std::size_t kMaxUnansweredRounds = 256;  // beyond this, the oldest is dropped
 
 }  // namespace
 
@@ -38,9 +38,9 @@
     }
 }
 
-// All that older terms committed before the round began stands before the own term's first entry, and of the
-// own term nothing was committed before that entry. So once it is committed, a round from before that proves
-// a heartbeat too.
+// Everything that older terms committed precedes the own term's first entry, and the own term commits nothing
+// before that entry. So once it is committed, a round that began earlier is also valid, with at least that
+// entry's index as its commit index.
 std::optional<LeadershipHeartbeat> Leadership::heartbeat(LogIndex commit_index) const {
     if (!answered_round_ || commit_index < first_index_) return std::nullopt;
     return LeadershipHeartbeat{term_, answered_round_->wall_clock,
@@ -56,8 +56,8 @@
     return on_majority < first_index_ ? 0 : on_majority;
 }
 
-void Leadership::drop_silent_transfers(Timestamp now, Duration silence) {
-    for (FollowerProgress& follower : followers_) follower.drop_silent_transfer(now, silence);
+void Leadership::cancel_unresponsive_transfers(Timestamp now, Duration silence) {
+    for (FollowerProgress& follower : followers_) follower.cancel_unresponsive_transfer(now, silence);
 }
 
 std::optional<Message> Leadership::next_message(int voter, const RaftLog& log,
--- a/src/cluster/raft/leadership.h
+++ b/src/cluster/raft/leadership.h
@@ -1,8 +1,9 @@
-// What a voter holds only while it leads: the progress of its followers, the heartbeat rounds, and from both
-// the commit index, the proof that it still leads (check-quorum), and the LeadershipHeartbeat that it tells.
+// The state that a voter has only while it leads: the progress of its followers and the heartbeat rounds.
+// From them it derives the commit index, the evidence that it still leads (check-quorum), and the
+// LeadershipHeartbeat that it sends. RaftNode owns it.
 //
-// A heartbeat round proves that a majority took this voter for the leader when the round began, once a
-// majority has answered it: each of them, when it answered, had voted for nobody in a later term.
+// Once a majority has answered a heartbeat round, that round proves that a majority accepted this voter as
+// leader when the round began: none of them had voted in a later term when it answered.
 #pragma once
 
 #include <array>
@@ -20,30 +21,32 @@
         Duration heartbeat_interval{};
         FollowerProgress::Limits limits;
     };
-    // `first_index`: of the term's first entry, which is appended next. `now` here and below is on the node's
-    // monotonic clock.
+    // `first_index`: of the term's first entry, which the caller appends next. `now`, here and below, is on
+    // the node's monotonic clock.
     Leadership(const Settings& settings, Term term, LogIndex first_index, Timestamp now);
 
     FollowerProgress& follower(int voter) { return followers_[voter]; }
     std::uint64_t round() const { return round_; }
 
     bool is_round_due(Timestamp now) const { return now >= next_round_at_; }
-    // `wall_clock`: what the round's LeadershipHeartbeat will say.
+    // `wall_clock`: the time that the round's LeadershipHeartbeat carries.
     void begin_round(Timestamp wall_clock, Timestamp now, LogIndex commit_index);
-    // A follower has answered a newer round, or this voter's own round counts: looks for a majority.
+    // Updates the newest confirmed round; called after a follower answers a newer round and after a round
+    // begins.
     void confirm_rounds();
-    // The newest instant at which it is known to have led.
+    // The latest instant at which a majority is known to have accepted this voter as leader.
     Timestamp confirmed_at() const { return confirmed_at_; }
-    // Of the newest round that a majority has answered; nothing until an entry of the term is committed.
+    // The heartbeat of the newest round that a majority has answered; nothing until an entry of the term is
+    // committed.
     std::optional<LeadershipHeartbeat> heartbeat(LogIndex commit_index) const;
 
-    // The index that is on the disks of a majority, or 0 while that is none of this term: entries of older
-    // terms are committed with the first of the own term and never by counting their copies (section 5.4.2 of
-    // the paper).
+    // The highest index that a majority has persisted, or 0 while that entry is of an older term: such
+    // entries are committed together with the first entry of the own term, never by counting replicas
+    // (section 5.4.2 of the paper).
     LogIndex committable_index(LogIndex persisted_index) const;
 
-    void drop_silent_transfers(Timestamp now, Duration silence);
-    // The messages that this follower is to be sent now.
+    void cancel_unresponsive_transfers(Timestamp now, Duration silence);
+    // See FollowerProgress::next_message().
     std::optional<Message> next_message(int voter, const RaftLog& log,
                                         const std::optional<LeadershipHeartbeat>& heartbeat, Timestamp now);
 
--- a/src/cluster/raft/leadership_heartbeat.h
+++ b/src/cluster/raft/leadership_heartbeat.h
@@ -1,14 +1,14 @@
-// What the leader of a Raft group can prove about the past, for those who act on committed entries by a
-// lease.
+// The proof of leadership that the leader of a Raft group sends, for readers that act on committed entries
+// under a lease.
 #pragma once
 
 #include "cluster/raft/raft_types.h"
 
 namespace linnetlead::raft {
 
-// At `at`, by the leader's clock, a majority of the voters took it for the leader, and `committed` was its
-// commit index. No entry behind `committed` was committed before `at`; so who holds all entries up to
-// `committed` may act on what they say until `at` plus the lease, whatever happens in the group meanwhile.
+// At time `at` of the leader's clock, a majority of the voters accepted it as leader, and `committed` was its
+// commit index. No entry after `committed` was committed before `at`. So a reader that has all entries up to
+// `committed` may act on them until `at` plus the lease, whatever happens in the group meanwhile.
 struct LeadershipHeartbeat {
     Term term = 0;
     Timestamp at{};  // Unix time
--- a/src/cluster/raft/monotonic_clock.h
+++ b/src/cluster/raft/monotonic_clock.h
@@ -1,4 +1,4 @@
-// A clock for time-outs, made from the wall clock that the driver tells.
+// A monotonic clock for timeouts, derived from the wall-clock times that the driver passes in.
 #pragma once
 
 #include <optional>
@@ -7,7 +7,7 @@
 
 namespace linnetlead::raft {
 
-// The sum of the spans between calls: it never goes back, whatever the wall clock does.
+// Adds up the increases of the wall clock between calls, so it never goes back when the wall clock does.
 class MonotonicClock {
 public:
     void advance(Timestamp wall_clock) {
--- a/src/cluster/raft/quorum.h
+++ b/src/cluster/raft/quorum.h
@@ -1,4 +1,4 @@
-// Majorities of a group of voters.
+// Majorities in a group of voters.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 constexpr int majority_of(int voters) { return voters / 2 + 1; }
 
-// The largest value that a majority has reached, of one value a voter.
+// The largest value that a majority of the voters has reached; `values` has one value per voter.
 inline std::uint64_t reached_by_majority(std::array<std::uint64_t, kMaxVoters> values, int voters) {
     const auto middle = values.begin() + (majority_of(voters) - 1);
     std::nth_element(values.begin(), middle, values.begin() + voters, std::greater<>());
--- a/src/cluster/raft/raft_log.cpp
+++ b/src/cluster/raft/raft_log.cpp
@@ -31,9 +31,9 @@
     return entries_[index - snapshot_index_ - 1].bytes_up_to;
 }
 
-bool RaftLog::is_covered_by(LogIndex other_last_index, Term other_last_term) const {
-    if (other_last_term != last_term()) return other_last_term > last_term();
-    return other_last_index >= last_index();
+bool RaftLog::is_candidate_up_to_date(LogIndex candidate_last_index, Term candidate_last_term) const {
+    if (candidate_last_term != last_term()) return candidate_last_term > last_term();
+    return candidate_last_index >= last_index();
 }
 
 void RaftLog::append(LogEntry entry) {
@@ -75,7 +75,7 @@
     entries_.erase(entries_.begin(), entries_.begin() + dropped);
     snapshot_index_ = snapshot.index;
     snapshot_ = std::make_shared<SharedSnapshot>(std::move(snapshot));
-    is_compaction_due_ = !is_install_due_;  // one that is still to be installed is replaced by this newer one
+    is_compaction_due_ = !is_install_due_;  // a pending install writes this newer snapshot instead
 }
 
 void RaftLog::take_unpersisted(Ready& ready) {
--- a/src/cluster/raft/raft_log.h
+++ b/src/cluster/raft/raft_log.h
@@ -1,5 +1,5 @@
-// The log of one voter in memory: the snapshot that it begins behind, the entries, how far they are
-// committed, given to the driver, and on disk. No I/O.
+// The in-memory log of one voter: the snapshot that precedes its entries, the entries, and the indexes up to
+// which they are committed, delivered to the driver, and persisted. RaftNode owns it. No I/O.
 #pragma once
 
 #include <deque>
@@ -10,18 +10,18 @@
 
 namespace linnetlead::raft {
 
-// Bytes counted for each entry beside its body, in all bounds on entries.
+// Bytes that each entry counts in addition to its body in all size limits on entries.
 constexpr std::size_t kEntryOverheadBytes = 16;
 
-// A snapshot that the log shares with the transfers to followers: a compaction gives the log a newer one, and
-// a transfer under way goes on with the one that it began.
+// A snapshot that the log shares with the transfers to followers: a compaction gives the log a newer one,
+// while a running transfer continues with its own.
 class SharedSnapshot {
 public:
     explicit SharedSnapshot(LogSnapshot snapshot) : snapshot_(std::move(snapshot)) {}
     SharedSnapshot(LogSnapshot snapshot, std::uint64_t checksum)
         : snapshot_(std::move(snapshot)), checksum_(checksum) {}
     const LogSnapshot& get() const { return snapshot_; }
-    std::uint64_t checksum();  // of the state; computed once, when it is first sent
+    std::uint64_t checksum();  // of the state; computed on first use
 
 private:
     LogSnapshot snapshot_;
@@ -30,43 +30,43 @@
 
 class RaftLog {
 public:
-    // As on disk. Entries that do not follow one another from the snapshot on are left out.
+    // From the persisted state. Entries that do not continue the sequence from the snapshot on are skipped.
     RaftLog(LogSnapshot snapshot, std::vector<LogEntry> entries);
 
     LogIndex snapshot_index() const { return snapshot_index_; }
     LogIndex last_index() const { return snapshot_index_ + entries_.size(); }
     Term last_term() const { return term_at(last_index()); }
-    // Index: above the snapshot's and not above the last.
+    // `index`: above snapshot_index(), at most last_index().
     const LogEntry& entry(LogIndex index) const { return entries_[index - snapshot_index_ - 1].entry; }
-    // Index: from the snapshot's to the last.
+    // `index`: from snapshot_index() to last_index().
     Term term_at(LogIndex index) const;
-    // Of all entries up to this index since the process began; differences count.
+    // The total size of the entries up to this index, from an arbitrary origin; use only differences.
     std::uint64_t bytes_up_to(LogIndex index) const;
     std::uint64_t uncommitted_bytes() const { return bytes_up_to(last_index()) - bytes_up_to(commit_index_); }
-    // Whether a log that ends so lacks nothing that this one has (section 5.4.1 of the paper).
-    bool is_covered_by(LogIndex last_index, Term last_term) const;
+    // Whether a candidate's log is at least as up-to-date as this one (section 5.4.1 of the paper).
+    bool is_candidate_up_to_date(LogIndex candidate_last_index, Term candidate_last_term) const;
 
     LogIndex commit_index() const { return commit_index_; }
     LogIndex persisted_index() const { return persisted_index_; }
-    LogIndex delivered_index() const {
-        return delivered_index_;
-    }  // of the committed ones given to the driver
+    // The last committed entry that was given to the driver.
+    LogIndex delivered_index() const { return delivered_index_; }
     const std::shared_ptr<SharedSnapshot>& snapshot() const { return snapshot_; }
 
     void append(LogEntry entry);
-    void truncate_from(LogIndex from);  // above the commit index
-    void commit_up_to(LogIndex index);  // never goes back
-    // A leader's snapshot in place of all that is held.
+    void truncate_from(LogIndex from);  // `from` is above the commit index
+    void commit_up_to(LogIndex index);  // a lower index changes nothing
+    // Replaces the whole log by the leader's snapshot.
     void install(LogSnapshot snapshot, std::uint64_t checksum);
-    // Drops the entries up to the snapshot's index, which is committed and delivered; any other changes
-    // nothing.
+    // Drops the entries up to the snapshot's index, which must be delivered and newer than the current
+    // snapshot; otherwise nothing changes.
     void compact(LogSnapshot snapshot);
 
-    // Moves to `ready` what is not on disk yet.
+    // Adds to `ready` the changes that are not persisted yet.
     void take_unpersisted(Ready& ready);
-    // Moves to `ready` the committed entries not yet delivered, until they are `max_bytes` or more.
+    // Adds to `ready` committed entries that are not delivered yet, until they reach `max_bytes`.
     void take_committed(Ready& ready, std::size_t max_bytes);
-    // Around the driver's write of what was taken. A truncation meanwhile takes back what it cuts off.
+    // Enclose the driver's write of what take_unpersisted() returned. Entries that are truncated meanwhile do
+    // not become persisted.
     void begin_persisting() { persisting_up_to_ = taken_index_; }
     void end_persisting();
 
@@ -83,10 +83,10 @@
     std::uint64_t snapshot_bytes_up_to_ = 0;
     LogIndex commit_index_ = 0;
     LogIndex delivered_index_ = 0;
-    LogIndex taken_index_ = 0;  // given to the driver for the disk
+    LogIndex taken_index_ = 0;  // last entry that was given to the driver to persist
     LogIndex persisting_up_to_ = 0;
     LogIndex persisted_index_ = 0;
-    LogIndex truncate_from_ = 0;  // not yet given to the driver; 0: none
+    LogIndex truncate_from_ = 0;  // truncation not yet given to the driver; 0: none
     bool is_install_due_ = false;
     bool is_compaction_due_ = false;
 };
--- a/src/cluster/raft/raft_log_format.cpp
+++ b/src/cluster/raft/raft_log_format.cpp
@@ -9,12 +9,13 @@
 constexpr std::uint8_t kRecordVersion = 1;
 constexpr std::uint64_t kBaseRecordKind = 0;
 constexpr std::uint64_t kBatchRecordKind = 1;
-constexpr std::size_t kBaseRecordNumbers = 6;  // kind, voter, snapshot's index and term, hard state's two
-constexpr std::size_t kBatchRecordNumbers =
-    5;  // kind, hard state's two, truncate from, first index; then entries
-constexpr char kContradiction[] = "a record says what cannot be";
+// Kind, voter, snapshot index and term, hard state (term and vote).
+constexpr std::size_t kBaseRecordNumbers = 6;
+// Kind, hard state (term and vote), truncate_from, first_index; the entries follow.
+constexpr std::size_t kBatchRecordNumbers = 5;
+constexpr char kInconsistentRecord[] = "a record has inconsistent fields";
 
-// No vote is stored as 0.
+// No vote (-1) is stored as 0.
 std::uint64_t stored_vote(const HardState& hard) { return static_cast<std::uint64_t>(hard.vote) + 1; }
 int read_vote(std::uint64_t stored) { return static_cast<int>(stored) - 1; }
 
@@ -29,7 +30,7 @@
 Result<LogRecord> read_batch_record(const FlatRecord& flat) {
     const std::vector<std::uint64_t>& numbers = flat.numbers;
     const bool has_whole_entries = numbers.size() >= kBatchRecordNumbers && numbers.size() % 2 == 1;
-    if (!has_whole_entries) return fail(ErrorCode::kDataLoss, kContradiction);
+    if (!has_whole_entries) return fail(ErrorCode::kDataLoss, kInconsistentRecord);
     BatchRecord batch;
     batch.hard = {numbers[1], read_vote(numbers[2])};
     batch.truncate_from = numbers[3];
@@ -37,11 +38,11 @@
     batch.bodies = flat.bytes;
     std::uint64_t remaining_bytes = flat.bytes.size();
     for (std::size_t i = kBatchRecordNumbers; i < numbers.size(); i += 2) {
-        if (numbers[i + 1] > remaining_bytes) return fail(ErrorCode::kDataLoss, kContradiction);
+        if (numbers[i + 1] > remaining_bytes) return fail(ErrorCode::kDataLoss, kInconsistentRecord);
         batch.entries.push_back({numbers[i], numbers[i + 1]});
         remaining_bytes -= numbers[i + 1];
     }
-    if (remaining_bytes > 0) return fail(ErrorCode::kDataLoss, "it ends there");
+    if (remaining_bytes > 0) return fail(ErrorCode::kDataLoss, "a record has bytes after its last entry");
     return batch;
 }
 
@@ -62,7 +63,7 @@
 
 Result<NewestFlushMark> read_log_header(std::string_view file) {
     if (file.size() < kLogHeaderBytes || file.substr(0, kLogFileKind.size()) != kLogFileKind)
-        return fail(ErrorCode::kDataLoss, "it is damaged at its head, or of another kind or version");
+        return fail(ErrorCode::kDataLoss, "the file header is damaged, or of another file kind or version");
     std::optional<NewestFlushMark> newest;
     for (std::uint64_t mark = 0; mark < 2; ++mark) {
         const std::string_view bytes = file.substr(flush_mark_offset(mark), kFlushMarkBytes);
@@ -70,8 +71,7 @@
         if (bytes != flush_mark(flushed_bytes, mark)) continue;
         if (!newest || flushed_bytes > newest->flushed_bytes) newest = NewestFlushMark{flushed_bytes, mark};
     }
-    if (!newest)
-        return fail(ErrorCode::kDataLoss, "it is damaged at its head: neither note of its length is whole");
+    if (!newest) return fail(ErrorCode::kDataLoss, "the file header is damaged: neither flush mark is valid");
     return *newest;
 }
 
@@ -95,11 +95,11 @@
 
 Result<LogRecord> read_log_record(std::string_view record, std::uint64_t chain) {
     const auto flat = decode_flat(kRecordVersion, record, chain);
-    if (!flat) return fail(ErrorCode::kDataLoss, "a record does not fit its checksum");
+    if (!flat) return fail(ErrorCode::kDataLoss, "a record does not match its checksum");
     const std::vector<std::uint64_t>& numbers = flat->numbers;
     if (!numbers.empty() && numbers[0] == kBatchRecordKind) return read_batch_record(*flat);
     if (numbers.size() != kBaseRecordNumbers || numbers[0] != kBaseRecordKind)
-        return fail(ErrorCode::kDataLoss, kContradiction);
+        return fail(ErrorCode::kDataLoss, kInconsistentRecord);
     return BaseRecord{static_cast<int>(numbers[1]), numbers[2], numbers[3],
                       HardState{numbers[4], read_vote(numbers[5])}};
 }
--- a/src/cluster/raft/raft_log_format.h
+++ b/src/cluster/raft/raft_log_format.h
@@ -1,12 +1,11 @@
-// The byte form of the log file of one voter. No I/O.
+// The format of the log file of one voter; RaftLogStore reads and writes it. No I/O.
 //
-//   header: the kind (24 bytes) | flush mark 0 | flush mark 1 (16 bytes each: a length, its checksum)
-//   then records: length (4 bytes, big-endian) | a flat record whose checksum is seeded by the one before
+//   header: file kind (24 bytes) | flush mark 0 | flush mark 1 (16 bytes each: a length and its checksum)
+//   records: length (4 bytes, big-endian) | a flat record whose checksum is seeded with the previous one's
 //
-// Guard against damage that is taken for a shorter log: a flush mark says up to which byte the log was
-// flushed. What is not whole before there is damage; what is not whole behind it is a write that was
-// interrupted, of which nobody was told. The marks are written in turn, so that one that is torn leaves the
-// other.
+// A flush mark states up to which byte the log was flushed, so that damage is not mistaken for a shorter log.
+// An incomplete record before that byte is damage; one after it is an interrupted write that was never
+// acknowledged. The two marks are written alternately, so that a torn write of one leaves the other intact.
 #pragma once
 
 #include <string>
@@ -25,7 +24,7 @@
 constexpr std::size_t kLogHeaderBytes = kLogFileKind.size() + 2 * kFlushMarkBytes;
 constexpr std::size_t kRecordLengthBytes = 4;
 
-// The first record: whose log it is and where it begins.
+// The first record: the voter that owns the log and the index after which its entries begin.
 struct BaseRecord {
     int voter = 0;
     LogIndex snapshot_index = 0;
@@ -36,7 +35,7 @@
     Term term = 0;
     std::uint64_t body_bytes = 0;
 };
-// One write: a hard state, a truncation, and entries whose bodies follow one another in the record's bytes.
+// One write: a hard state, a truncation, and entries whose bodies are concatenated in `bodies`.
 struct BatchRecord {
     HardState hard;
     LogIndex truncate_from = 0;  // 0: none
@@ -46,10 +45,10 @@
 };
 using LogRecord = std::variant<BaseRecord, BatchRecord>;
 
-// Mark 0 or 1.
+// `mark`: 0 or 1.
 std::string flush_mark(std::uint64_t flushed_bytes, std::uint64_t mark);
 std::size_t flush_mark_offset(std::uint64_t mark);
-std::string log_header(std::uint64_t flushed_bytes);  // with both marks
+std::string log_header(std::uint64_t flushed_bytes);  // both marks have this value
 
 struct NewestFlushMark {
     std::uint64_t flushed_bytes = 0;
@@ -57,13 +56,14 @@
 };
 Result<NewestFlushMark> read_log_header(std::string_view file);
 
-// Appends it with its length to `out`. `chain` is the checksum of the record before, and then of this one.
+// Appends the record, prefixed with its length, to `out`. `chain` is the checksum of the previous record and
+// is set to that of this one.
 void append_base_record(std::string& out, const BaseRecord& record, std::uint64_t& chain);
-// `bodies`: of the record's entries, whose own member is not read.
+// `bodies`: the entries' bodies; record.bodies is ignored.
 void append_batch_record(std::string& out, const BatchRecord& record,
                          const std::vector<std::string_view>& bodies, std::uint64_t& chain);
 
-// Of one record without its length. Its checksum is the next one's chain.
+// `record`: without its length prefix. `chain`: the checksum of the previous record.
 Result<LogRecord> read_log_record(std::string_view record, std::uint64_t chain);
 std::uint64_t record_checksum(std::string_view record);
 
--- a/src/cluster/raft/raft_log_store.cpp
+++ b/src/cluster/raft/raft_log_store.cpp
@@ -20,13 +20,13 @@
 constexpr std::string_view kSnapshotKind = "linnetlead/quorum-snapshot/1";
 constexpr std::uint8_t kSnapshotVersion = 1;
 constexpr std::size_t kSnapshotNumbers = 3;  // index, term, voter
-// Of one record; what is more goes into the next.
+// Limits of one record; further entries go into the next record.
 constexpr std::size_t kMaxRecordEntries = 4096;
 constexpr std::size_t kMaxRecordBodyBytes = 64 * 1024 * 1024;
 
 int open_log(const std::string& path) { return storage::open_file(path, O_RDWR); }
 
-// Nothing is taken for absent but what the system says is not there.
+// Treats only ENOENT as absent; every other error is reported.
 Result<bool> exists(const std::string& path) {
     struct stat status {};
     if (storage::status_of(path, status) == 0) return true;
@@ -36,22 +36,22 @@
 
 }  // namespace
 
-Result<RaftLogStore::Opened> RaftLogStore::open(const Settings& settings) {
+Result<RaftLogStore::OpenResult> RaftLogStore::open(const Settings& settings) {
     std::unique_ptr<RaftLogStore> store(new RaftLogStore(settings));
-    const std::string directory = "the quorum's directory " + settings.directory;
+    const std::string directory = "Raft log directory " + settings.directory;
     if (::mkdir(settings.directory.c_str(), 0700) != 0 && errno != EEXIST)
-        return fail(ErrorCode::kIo, directory + " cannot be made: " + std::strerror(errno));
+        return fail(ErrorCode::kIo, "cannot create the " + directory + ": " + std::strerror(errno));
     store->lock_file_ = storage::open_file(store->path("lock"), O_RDWR | O_CREAT, storage::kOwnerOnly);
     if (store->lock_file_ < 0)
         return fail(ErrorCode::kIo, storage::file_error(store->path("lock"), "opened"));
     if (::flock(store->lock_file_, LOCK_EX | LOCK_NB) != 0)
-        return fail(ErrorCode::kUnavailable, directory + " is held by another process, or cannot be");
+        return fail(ErrorCode::kUnavailable,
+                    directory + " is locked by another process, or cannot be locked");
     auto state = store->load();
     if (!state) {
-        return fail(state.error().code,
-                    "the quorum's log in " + settings.directory + ": " + state.error().message);
+        return fail(state.error().code, "Raft log in " + settings.directory + ": " + state.error().message);
     }
-    return Opened{std::move(store), std::move(*state)};
+    return OpenResult{std::move(store), std::move(*state)};
 }
 
 RaftLogStore::~RaftLogStore() {
@@ -59,8 +59,8 @@
     if (lock_file_ >= 0) ::close(lock_file_);
 }
 
-Status RaftLogStore::fail_for_good(ErrorCode code, const std::string& message) {
-    std::string text = "the quorum's log in " + settings_.directory + ": " + message;
+Status RaftLogStore::fail_permanently(ErrorCode code, const std::string& message) {
+    std::string text = "Raft log in " + settings_.directory + ": " + message;
     if (errno != 0) text += std::string(": ") + std::strerror(errno);
     failure_ = Error{code, std::move(text)};
     return tl::unexpected<Error>(*failure_);
@@ -79,10 +79,10 @@
     flush_marks_ = newest_mark->mark;
     PersistedState state;
     const std::string stop_reason = load_records(*file, state);
-    if (end_ < newest_mark->flushed_bytes || end_ == kLogHeaderBytes) {
-        return fail(ErrorCode::kDataLoss, "it is damaged at byte " + std::to_string(end_) + " of " +
+    if (end_offset_ < newest_mark->flushed_bytes || end_offset_ == kLogHeaderBytes) {
+        return fail(ErrorCode::kDataLoss, "damaged at byte " + std::to_string(end_offset_) + " of " +
                                               std::to_string(newest_mark->flushed_bytes) +
-                                              " that were flushed: " + stop_reason);
+                                              " flushed bytes: " + stop_reason);
     }
     if (Status loaded = load_snapshot(state); !loaded) return tl::unexpected<Error>(loaded.error());
     state.hard = hard_;
@@ -94,32 +94,32 @@
 Result<PersistedState> RaftLogStore::create() {
     const auto has_snapshot = exists(path("snapshot"));
     if (!has_snapshot) return tl::unexpected<Error>(has_snapshot.error());
-    if (*has_snapshot) return fail(ErrorCode::kDataLoss, "it is gone, and a snapshot is there");
+    if (*has_snapshot) return fail(ErrorCode::kDataLoss, "the log file is missing, but a snapshot exists");
     if (Status written = rewrite(Ready()); !written) return tl::unexpected<Error>(written.error());
     return PersistedState();
 }
 
 std::string RaftLogStore::load_records(std::string_view file, PersistedState& state) {
-    end_ = kLogHeaderBytes;
-    while (file.size() - end_ > kRecordLengthBytes) {
-        const std::uint64_t size = read_fixed(file.substr(end_), kRecordLengthBytes);
-        const std::string_view rest = file.substr(end_ + kRecordLengthBytes);
-        if (size < kFlatHeaderBytes || size > rest.size()) return "a record is cut off";
+    end_offset_ = kLogHeaderBytes;
+    while (file.size() - end_offset_ > kRecordLengthBytes) {
+        const std::uint64_t size = read_fixed(file.substr(end_offset_), kRecordLengthBytes);
+        const std::string_view rest = file.substr(end_offset_ + kRecordLengthBytes);
+        if (size < kFlatHeaderBytes || size > rest.size()) return "a record is truncated";
         const std::string_view record = rest.substr(0, size);
-        const Status applied = apply_record(record, end_ + kRecordLengthBytes, state);
+        const Status applied = apply_record(record, end_offset_ + kRecordLengthBytes, state);
         if (!applied) return applied.error().message;
         chain_ = record_checksum(record);
-        end_ += kRecordLengthBytes + size;
+        end_offset_ += kRecordLengthBytes + size;
     }
-    return "it ends there";
+    return "the file ends there";
 }
 
 Status RaftLogStore::apply_record(std::string_view record, std::uint64_t offset, PersistedState& state) {
     const auto decoded = read_log_record(record, chain_);
     if (!decoded) return tl::unexpected<Error>(decoded.error());
     const auto* base = std::get_if<BaseRecord>(&*decoded);
-    const bool is_first = end_ == kLogHeaderBytes;
-    if (is_first != (base != nullptr)) return fail(ErrorCode::kDataLoss, "a record says what cannot be");
+    const bool is_first = end_offset_ == kLogHeaderBytes;
+    if (is_first != (base != nullptr)) return fail(ErrorCode::kDataLoss, "a record has inconsistent fields");
     if (base) return apply_base(*base);
     const BatchRecord& batch = std::get<BatchRecord>(*decoded);
     return apply_batch(batch, offset + record.size() - batch.bodies.size(), state);
@@ -127,7 +127,7 @@
 
 Status RaftLogStore::apply_base(const BaseRecord& base) {
     if (base.voter != settings_.self) {
-        return fail(ErrorCode::kFailedPrecondition, "it is that of voter " + std::to_string(base.voter) +
+        return fail(ErrorCode::kFailedPrecondition, "it belongs to voter " + std::to_string(base.voter) +
                                                         ", not " + std::to_string(settings_.self));
     }
     base_index_ = base.snapshot_index;
@@ -142,7 +142,7 @@
     const LogIndex from = batch.truncate_from ? batch.truncate_from : next;
     const bool is_gap = from <= base_index_ || from > next;
     if (is_gap || (!batch.entries.empty() && batch.first_index != from))
-        return fail(ErrorCode::kDataLoss, "a record says what cannot be");
+        return fail(ErrorCode::kDataLoss, "a record has inconsistent fields");
     drop_newest_bodies(from);
     state.entries.resize(bodies_.size());
     hard_ = batch.hard;
@@ -162,28 +162,30 @@
     const auto file = storage::read_file(path("snapshot"));
     if (!file && file.error().code == ErrorCode::kNotFound) {
         if (base_index_ == 0) return {};
-        return fail(ErrorCode::kDataLoss, "its snapshot is gone");
+        return fail(ErrorCode::kDataLoss, "the snapshot is missing");
     }
     if (!file) return tl::unexpected<Error>(file.error());
     const auto text = storage::decode_checksummed(kSnapshotKind, *file);
     const auto flat = decode_flat(kSnapshotVersion, text ? std::string_view(*text) : std::string_view());
     if (!flat || flat->numbers.size() != kSnapshotNumbers)
         return fail(ErrorCode::kDataLoss,
-                    "its snapshot is damaged: " + (text ? "it cannot be read" : text.error().message));
+                    "the snapshot is damaged: " + (text ? "it cannot be decoded" : text.error().message));
     const LogIndex index = flat->numbers[0];
     const Term term = flat->numbers[1];
     if (flat->numbers[2] != static_cast<std::uint64_t>(settings_.self))
-        return fail(ErrorCode::kFailedPrecondition, "its snapshot is another voter's");
+        return fail(ErrorCode::kFailedPrecondition, "the snapshot belongs to another voter");
     if (index < base_index_ || (index == base_index_ && term != base_term_)) {
-        return fail(ErrorCode::kDataLoss, "its snapshot is older than it: of " + std::to_string(index) +
-                                              ", and it begins behind " + std::to_string(base_index_));
+        return fail(ErrorCode::kDataLoss, "the snapshot is older than the log: it ends at index " +
+                                              std::to_string(index) + ", and the log begins after " +
+                                              std::to_string(base_index_));
     }
     state.snapshot = {index, term, std::string(flat->bytes)};
     return index == base_index_ ? Status() : adopt_newer_snapshot(state);
 }
 
-// One that is newer than where the log begins: the process ended between writing the two. Where the log has
-// the snapshot's last entry, what is behind that stays; else all of it is void.
+// Handles a snapshot that is newer than the log's first index: the process ended after it wrote the snapshot
+// and before it rewrote the log. If the log has the snapshot's last entry, the entries after it stay;
+// otherwise all entries are obsolete.
 Status RaftLogStore::adopt_newer_snapshot(PersistedState& state) {
     const LogSnapshot& snapshot = state.snapshot;
     const std::size_t covered = snapshot.index - base_index_;
@@ -198,16 +200,16 @@
     return rewrite(Ready());
 }
 
-// Cuts off what was interrupted, and opens the log for appending.
+// Opens the log for appending and removes an interrupted write from its end.
 Status RaftLogStore::resume_writing(std::uint64_t file_bytes, std::uint64_t flushed_bytes) {
     if (log_file_ < 0) log_file_ = open_log(path("log"));
-    const bool is_marked = end_ == file_bytes && end_ == flushed_bytes;
+    const bool is_marked = end_offset_ == file_bytes && end_offset_ == flushed_bytes;
     const auto cut_off = [this] {
-        return storage::truncate_file(log_file_, end_) == 0 && storage::sync_file(log_file_) == 0 &&
+        return storage::truncate_file(log_file_, end_offset_) == 0 && storage::sync_file(log_file_) == 0 &&
                write_flush_mark();
     };
     if (log_file_ < 0 || (!is_marked && !cut_off()))
-        return fail(ErrorCode::kIo, std::string("it cannot be written: ") + std::strerror(errno));
+        return fail(ErrorCode::kIo, std::string("the log cannot be written: ") + std::strerror(errno));
     return {};
 }
 
@@ -222,7 +224,7 @@
 
 bool RaftLogStore::write_flush_mark() {
     const std::uint64_t mark = ++flush_marks_ % 2;
-    return storage::write_whole(log_file_, flush_mark(end_, mark), flush_mark_offset(mark));
+    return storage::write_whole(log_file_, flush_mark(end_offset_, mark), flush_mark_offset(mark));
 }
 
 bool RaftLogStore::write_snapshot(const LogSnapshot& snapshot) {
@@ -288,7 +290,7 @@
         entry.term = location.term;
         entry.body.resize(location.bytes);
         if (!storage::read_whole(log_file_, entry.body, location.offset))
-            return fail_for_good(ErrorCode::kIo, "it cannot be read");
+            return fail_permanently(ErrorCode::kIo, "the log cannot be read");
         kept.append.push_back(std::move(entry));
     }
     bodies_.clear();
@@ -297,22 +299,22 @@
     if (ready.hard || ready.truncate_from || !ready.append.empty()) append_records(out, ready, 0);
     out.replace(0, kLogHeaderBytes, log_header(out.size()));
     if (!storage::replace_file(path("log"), out) || !sync_directory())
-        return fail_for_good(ErrorCode::kIo, "it cannot be written");
+        return fail_permanently(ErrorCode::kIo, "the log cannot be written");
     if (log_file_ >= 0) ::close(log_file_);
     log_file_ = open_log(path("log"));
-    if (log_file_ < 0) return fail_for_good(ErrorCode::kIo, "it cannot be opened");
-    end_ = out.size();
+    if (log_file_ < 0) return fail_permanently(ErrorCode::kIo, "the log cannot be opened");
+    end_offset_ = out.size();
     flush_marks_ = 0;
     return {};
 }
 
 Status RaftLogStore::append(const Ready& ready) {
     std::string out;
-    append_records(out, ready, end_);
-    if (!storage::write_whole(log_file_, out, end_) || storage::sync_file_data(log_file_) != 0)
-        return fail_for_good(ErrorCode::kIo, "it cannot be written");
-    end_ += out.size();
-    if (!write_flush_mark()) return fail_for_good(ErrorCode::kIo, "it cannot be written");
+    append_records(out, ready, end_offset_);
+    if (!storage::write_whole(log_file_, out, end_offset_) || storage::sync_file_data(log_file_) != 0)
+        return fail_permanently(ErrorCode::kIo, "the log cannot be written");
+    end_offset_ += out.size();
+    if (!write_flush_mark()) return fail_permanently(ErrorCode::kIo, "the log cannot be written");
     return {};
 }
 
@@ -323,10 +325,10 @@
     std::uint64_t bytes = live_bytes_;
     for (const LogEntry& entry : ready.append) bytes += entry.body.size();
     if (bytes > settings_.max_bytes / 2)
-        return fail_for_good(ErrorCode::kResourceExhausted, "it is full, and nobody compacts it");
+        return fail_permanently(ErrorCode::kResourceExhausted, "the log is full because it is not compacted");
     const auto& snapshot = ready.install ? ready.install : ready.compact;
     if (snapshot && !write_snapshot(*snapshot))
-        return fail_for_good(ErrorCode::kIo, "its snapshot cannot be written");
+        return fail_permanently(ErrorCode::kIo, "the snapshot cannot be written");
     if (ready.install) {
         drop_oldest_bodies(bodies_.size());
     } else if (ready.compact && ready.compact->index > base_index_) {
@@ -336,7 +338,7 @@
         base_index_ = snapshot->index;
         base_term_ = snapshot->term;
     }
-    if (snapshot || end_ > 2 * live_bytes_ + settings_.slack_bytes) return rewrite(ready);
+    if (snapshot || end_offset_ > 2 * live_bytes_ + settings_.slack_bytes) return rewrite(ready);
     return append(ready);
 }
 
--- a/src/cluster/raft/raft_log_store.h
+++ b/src/cluster/raft/raft_log_store.h
@@ -1,6 +1,6 @@
-// What a voter has on disk, in a directory that one process holds alone: `log` (hard state and entries; each
-// write appends records and is flushed) and `snapshot` (whole or not at all). Every call blocks; one thread
-// at a time.
+// The persisted state of one voter, in a directory that a single process locks: `log` (hard state and
+// entries; each write appends records and flushes them) and `snapshot` (replaced atomically). The driver of a
+// RaftNode writes each Ready with it. Every call blocks; not thread-safe.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace linnetlead::raft {
 
-// As RaftNode's constructor takes it.
+// The arguments of RaftNode's constructor.
 struct PersistedState {
     HardState hard;
     LogSnapshot snapshot;
@@ -25,30 +25,31 @@
 class RaftLogStore {
 public:
     struct Settings {
-        std::string directory;  // created where it does not exist; its parent does
-        int self = 0;           // the voter's number; another voter's directory is rejected
-        // Of the log with what is void in it. It is rewritten once most of it is void; where the entries
-        // alone are more than half of this, because nobody compacts, write() fails.
+        std::string directory;  // created if missing; its parent must exist
+        int self = 0;           // the voter's number; the directory of another voter is rejected
+        // Limit for the log, including obsolete bytes. The log is rewritten once most of it is obsolete;
+        // write() fails when the entries alone exceed half of the limit because the log is not compacted.
         std::size_t max_bytes = 256 * 1024 * 1024;
-        std::size_t slack_bytes = 16 * 1024 * 1024;  // void bytes that are not worth a rewrite
+        std::size_t slack_bytes = 16 * 1024 * 1024;  // obsolete bytes that do not justify a rewrite
     };
-    struct Opened;
+    struct OpenResult;
 
-    // Errors, as one line with the directory: kIo (it cannot be created, read or written), kUnavailable
-    // (another process holds it), kFailedPrecondition (another voter's), kDataLoss (damaged, and where).
-    static Result<Opened> open(const Settings& settings);
+    // Errors, one line that names the directory: kIo (cannot be created, read or written), kUnavailable
+    // (locked by another process), kFailedPrecondition (belongs to another voter), kDataLoss (damaged; states
+    // where).
+    static Result<OpenResult> open(const Settings& settings);
     ~RaftLogStore();
     RaftLogStore(const RaftLogStore&) = delete;
     RaftLogStore& operator=(const RaftLogStore&) = delete;
 
-    // All of `ready` that goes to disk is there when it returns. On an error (kIo, kResourceExhausted)
-    // nothing of it may be told to anyone, and every later write fails with the same error: the voter stops,
-    // and is opened anew.
+    // Persists the part of `ready` that goes to disk before it returns. After an error (kIo,
+    // kResourceExhausted) no message of `ready` may be sent, and every later write fails with the same error:
+    // the voter has to stop and open the store again.
     Status write(const Ready& ready);
-    std::size_t bytes() const { return end_; }  // of the log
+    std::size_t bytes() const { return end_offset_; }  // of the log
 
 private:
-    // Of an entry's body in the log.
+    // The position of an entry's body in the log.
     struct BodyLocation {
         Term term = 0;
         std::uint64_t offset = 0;
@@ -56,12 +57,13 @@
     };
     explicit RaftLogStore(const Settings& settings) : settings_(settings) {}
     std::string path(const char* name) const { return settings_.directory + "/" + name; }
-    // Ends all writing: the message gets the directory, and the system's error where there is one.
-    Status fail_for_good(ErrorCode code, const std::string& message);
+    // Makes all later writes fail with this error; adds the directory and errno's text, if any, to the
+    // message.
+    Status fail_permanently(ErrorCode code, const std::string& message);
 
     Result<PersistedState> load();
     Result<PersistedState> create();
-    // Reads records until one is not whole; returns why that is.
+    // Reads records up to the first incomplete or invalid one; returns why it stopped.
     std::string load_records(std::string_view file, PersistedState& state);
     Status apply_record(std::string_view record, std::uint64_t offset, PersistedState& state);
     Status apply_base(const BaseRecord& base);
@@ -73,11 +75,11 @@
     LogIndex last_index() const { return base_index_ + bodies_.size(); }
     void drop_newest_bodies(LogIndex from);
     void drop_oldest_bodies(std::size_t count);
-    // Appends the records of hard state, truncation and entries to `out`, which begins at `offset` of the
+    // Appends the records of hard state, truncation and entries to `out`, which starts at `offset` in the
     // log.
     void append_records(std::string& out, const Ready& ready, std::uint64_t offset);
     Status append(const Ready& ready);
-    // The log without what is void, and with this.
+    // Replaces the log file by one without obsolete records and with the changes of `ready`.
     Status rewrite(const Ready& ready);
     bool write_snapshot(const LogSnapshot& snapshot);
     bool write_flush_mark();
@@ -88,16 +90,16 @@
     int log_file_ = -1;
     std::optional<Error> failure_;
     HardState hard_;
-    LogIndex base_index_ = 0;  // the log's entries are behind it
+    LogIndex base_index_ = 0;  // the log's entries follow this index
     Term base_term_ = 0;
     std::deque<BodyLocation> bodies_;
     std::uint64_t live_bytes_ = 0;   // of the bodies
-    std::uint64_t end_ = 0;          // offset behind the last record
+    std::uint64_t end_offset_ = 0;   // end of the last record
     std::uint64_t chain_ = 0;        // checksum of the last record
-    std::uint64_t flush_marks_ = 0;  // written; the next goes over the older one
+    std::uint64_t flush_marks_ = 0;  // number written; the next one overwrites the older mark
 };
 
-struct RaftLogStore::Opened {
+struct RaftLogStore::OpenResult {
     std::unique_ptr<RaftLogStore> store;
     PersistedState state;
 };
--- a/src/cluster/raft/raft_message.cpp
+++ b/src/cluster/raft/raft_message.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr std::uint8_t kMessageVersion = 1;
-// Bounds every number that a message may carry, so that sums of a few of them cannot overflow.
+// The maximum of every number in a message, so that sums of a few of them cannot overflow.
 constexpr std::uint64_t kMaxNumber = std::uint64_t{1} << 62;
 constexpr std::uint64_t kMaxChecksum = ~std::uint64_t{0};
 
-// Writes each kind of message as its numbers, in the wire's order, and its bytes.
+// Collects a message's numbers, in wire order, and its raw bytes.
 class MessageWriter {
 public:
     explicit MessageWriter(const Message& message) {
@@ -64,7 +64,7 @@
     std::vector<std::string_view> parts_;
 };
 
-// Reads a message's numbers one by one; what is missing or out of range makes the whole message malformed.
+// Reads a message's numbers one by one; a number that is missing or out of range makes the message malformed.
 class MessageReader {
 public:
     explicit MessageReader(FlatRecord record) : record_(std::move(record)) {}
@@ -72,7 +72,7 @@
     tl::expected<Message, FlatError> read() {
         Message message = read_kind(next(std::variant_size_v<Message> - 1));
         const bool is_finished = position_ == record_.numbers.size() && record_.bytes.empty();
-        if (!is_good_ || !is_finished) return tl::unexpected<FlatError>(FlatError::kMalformed);
+        if (!is_valid_ || !is_finished) return tl::unexpected<FlatError>(FlatError::kMalformed);
         return message;
     }
 
@@ -120,13 +120,13 @@
         request.heartbeat = next_heartbeat(term);
         const std::uint64_t count = next(kMaxMessageEntries);
         Term newest = request.previous_term;
-        for (std::uint64_t i = 0; i < count && is_good_; ++i) {
+        for (std::uint64_t i = 0; i < count && is_valid_; ++i) {
             LogEntry entry;
             entry.index = request.previous_index + 1 + i;
             entry.term = next();
             const std::uint64_t size = next(record_.bytes.size());
             require(entry.term >= newest && entry.term > 0);
-            if (!is_good_) break;
+            if (!is_valid_) break;
             newest = entry.term;
             entry.body = record_.bytes.substr(0, size);
             record_.bytes.remove_prefix(size);
@@ -181,17 +181,17 @@
     }
     std::uint64_t next(std::uint64_t max = kMaxNumber) {
         if (position_ >= record_.numbers.size() || record_.numbers[position_] > max) {
-            is_good_ = false;
+            is_valid_ = false;
             return 0;
         }
         return record_.numbers[position_++];
     }
     bool next_flag() { return next(1) == 1; }
-    void require(bool condition) { is_good_ = is_good_ && condition; }
+    void require(bool condition) { is_valid_ = is_valid_ && condition; }
 
     FlatRecord record_;
     std::size_t position_ = 0;
-    bool is_good_ = true;
+    bool is_valid_ = true;
 };
 
 }  // namespace
--- a/src/cluster/raft/raft_message.h
+++ b/src/cluster/raft/raft_message.h
@@ -1,5 +1,6 @@
-// The messages between voters and their byte form. Message i of the variant has the kind i on the wire:
-// neither the order nor the fields' order may change while relays of two versions vote together.
+// The messages between voters and their encoding. The position of a type in the variant is its kind on the
+// wire: neither that order nor the order of fields may change while relays of two versions are voters of one
+// group.
 #pragma once
 
 #include <optional>
@@ -13,12 +14,12 @@
 
 namespace linnetlead::raft {
 
-// `term` of each message is the sender's, but for a pre-vote request's.
+// `term` is the sender's term, except in a pre-vote request.
 
-// "Would you vote for me?" Nothing is promised by the answer; it spares the group elections that cannot be
-// won.
+// Asks whether the receiver would vote for the sender. The response is not binding; it avoids elections that
+// the sender cannot win.
 struct PreVoteRequest {
-    Term term = 0;  // the one that the sender would begin
+    Term term = 0;  // the term of the election that the sender would start
     LogIndex last_index = 0;
     Term last_term = 0;
 };
@@ -36,13 +37,13 @@
     Term term = 0;
     bool granted = false;
 };
-// Without entries it is a heartbeat.
+// A heartbeat if it has no entries.
 struct AppendRequest {
     Term term = 0;
-    LogIndex previous_index = 0;  // the entries follow this one; 0 with term 0: the log's beginning
+    LogIndex previous_index = 0;  // of the entry before the first; 0 with term 0: the log's beginning
     Term previous_term = 0;
     LogIndex commit_index = 0;
-    std::uint64_t round = 0;  // the newest heartbeat round that the leader has begun
+    std::uint64_t round = 0;  // the newest heartbeat round of the leader
     std::optional<LeadershipHeartbeat> heartbeat;
     std::vector<LogEntry> entries;
 };
@@ -51,7 +52,7 @@
     std::uint64_t round = 0;      // of the request
     LogIndex previous_index = 0;  // of the request
     bool matched = false;
-    LogIndex match_index = 0;  // matched: held on disk up to here; else the leader may try behind this index
+    LogIndex match_index = 0;  // matched: persisted up to here; otherwise the leader retries after this index
 };
 struct SnapshotChunk {
     Term term = 0;
@@ -61,16 +62,16 @@
     std::optional<LeadershipHeartbeat> heartbeat;
     std::uint64_t total_bytes = 0;
     std::uint64_t checksum = 0;  // of the whole state
-    std::uint64_t offset = 0;    // bytes; where this chunk begins
-    std::string_view bytes;      // points into the state, or into the message that was read
+    std::uint64_t offset = 0;    // of this chunk in the state, bytes
+    std::string_view bytes;      // points into the state or into the decoded message
 };
 struct SnapshotResponse {
     Term term = 0;
     std::uint64_t round = 0;
     LogIndex snapshot_index = 0;
     std::uint64_t checksum = 0;
-    std::uint64_t next_offset = 0;  // bytes; what the receiver wants next
-    bool complete = false;          // all of it is held
+    std::uint64_t next_offset = 0;  // of the chunk that the receiver expects next, bytes
+    bool complete = false;          // the receiver has the whole snapshot
 };
 
 using Message = std::variant<PreVoteRequest, PreVoteResponse, VoteRequest, VoteResponse, AppendRequest,
@@ -79,8 +80,8 @@
 Term term_of(const Message& message);
 
 std::string encode_message(const Message& message);
-// A chunk's bytes point into `from`. Malformed is also what contradicts itself, such as entries whose terms
-// go back.
+// A chunk's bytes point into `from`. A message that contradicts itself, such as one with decreasing entry
+// terms, is malformed too.
 tl::expected<Message, FlatError> decode_message(std::string_view from);
 
 }  // namespace linnetlead::raft
--- a/src/cluster/raft/raft_node.cpp
+++ b/src/cluster/raft/raft_node.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxQueuedMessages = 1024;  // that wait for ready(); more are dropped as if lost
-constexpr int kSnapshotRetryHeartbeats = 3;       // intervals without a step of a snapshot's transfer
+constexpr std::size_t kMaxQueuedMessages = 1024;  // waiting for ready(); further ones are dropped as if lost
+constexpr int kSnapshotRetryHeartbeats = 3;       // heartbeat intervals without progress of a transfer
 
 Election::Settings election_settings(const RaftNode::Settings& settings) {
     return {settings.voters, settings.self, settings.seed, settings.heartbeat_interval,
@@ -42,7 +42,7 @@
 }
 
 template <typename Request>
-void RaftNode::ask_all_for_votes(Term term) {
+void RaftNode::request_votes(Term term) {
     for (int to = 0; to < settings_.voters; ++to) {
         send(to, Request{term, log_.last_index(), log_.last_term()});
     }
@@ -59,7 +59,7 @@
 void RaftNode::begin_pre_vote(Timestamp wall_clock) {
     election_.begin_pre_vote(now());
     if (election_.has_won()) return begin_vote(wall_clock);
-    ask_all_for_votes<PreVoteRequest>(hard_.term + 1);
+    request_votes<PreVoteRequest>(hard_.term + 1);
 }
 
 void RaftNode::begin_vote(Timestamp wall_clock) {
@@ -67,7 +67,7 @@
     hard_.vote = settings_.self;
     election_.begin_vote(now());
     if (election_.has_won()) return become_leader(wall_clock);
-    ask_all_for_votes<VoteRequest>(hard_.term);
+    request_votes<VoteRequest>(hard_.term);
 }
 
 void RaftNode::become_leader(Timestamp wall_clock) {
@@ -83,20 +83,20 @@
     election_.step_down(now());
 }
 
-void RaftNode::learn_heartbeat(const std::optional<LeadershipHeartbeat>& heartbeat) {
+void RaftNode::update_heartbeat(const std::optional<LeadershipHeartbeat>& heartbeat) {
     if (heartbeat && (!heartbeat_ || heartbeat->at > heartbeat_->at)) heartbeat_ = heartbeat;
 }
 
 void RaftNode::begin_heartbeat_round(Timestamp wall_clock) {
     leadership_->begin_round(wall_clock, now(), log_.commit_index());
-    learn_heartbeat(leadership_->heartbeat(log_.commit_index()));
+    update_heartbeat(leadership_->heartbeat(log_.commit_index()));
 }
 
 void RaftNode::advance_commit_index() {
     const LogIndex committable = leadership_->committable_index(log_.persisted_index());
     if (committable <= log_.commit_index()) return;
     log_.commit_up_to(committable);
-    learn_heartbeat(leadership_->heartbeat(log_.commit_index()));
+    update_heartbeat(leadership_->heartbeat(log_.commit_index()));
 }
 
 void RaftNode::tick(Timestamp wall_clock) {
@@ -106,12 +106,13 @@
         if (election_.is_timed_out(now())) begin_pre_vote(wall_clock);
         return;
     }
-    // Nobody answers, or the clock went back behind what this voter told by it: another may lead.
+    // No majority responds, or the clock went back to before the last heartbeat that this voter published:
+    // another voter may lead.
     const Duration timeout = settings_.election_timeout;
-    const bool is_alone = settings_.voters > 1 && now() - leadership_->confirmed_at() >= timeout;
+    const bool has_lost_majority = settings_.voters > 1 && now() - leadership_->confirmed_at() >= timeout;
     const bool has_clock_gone_back = heartbeat_ && wall_clock + timeout < heartbeat_->at;
-    if (is_alone || has_clock_gone_back) return step_down();
-    leadership_->drop_silent_transfers(now(), timeout);
+    if (has_lost_majority || has_clock_gone_back) return step_down();
+    leadership_->cancel_unresponsive_transfers(now(), timeout);
     if (leadership_->is_round_due(now())) begin_heartbeat_round(wall_clock);
 }
 
@@ -127,7 +128,7 @@
         ++(message.error() == FlatError::kUnknownVersion ? unknown_versions_ : ignored_messages_);
         return;
     }
-    // Pre-votes ask about a term that nobody has begun, so they begin none here.
+    // Pre-votes are about a term that has not begun, so they do not change the term here.
     if (const auto* request = std::get_if<PreVoteRequest>(&*message))
         return on_pre_vote_request(from, *request);
     if (const auto* response = std::get_if<PreVoteResponse>(&*message))
@@ -146,27 +147,27 @@
 }
 
 void RaftNode::on_pre_vote_request(int from, const PreVoteRequest& request) {
-    // Not while a leader is there: a voter that was cut off from it does not end its term.
+    // Rejected while there is a leader, so that a voter that was partitioned from it does not end its term.
     const bool is_granted = request.term > hard_.term && !election_.has_leader(now()) &&
-                            log_.is_covered_by(request.last_index, request.last_term);
+                            log_.is_candidate_up_to_date(request.last_index, request.last_term);
     if (is_granted) election_.yield_to(from, now());
     send(from, PreVoteResponse{hard_.term, request.term, is_granted});
 }
 
 void RaftNode::on_pre_vote_response(Timestamp wall_clock, int from, const PreVoteResponse& response) {
     if (!response.granted && response.term > hard_.term) return enter_later_term(response.term);
-    const bool is_asked =
+    const bool is_expected =
         election_.role() == Role::kPreCandidate && response.requested_term == hard_.term + 1;
-    if (!is_asked) return;
+    if (!is_expected) return;
     if (!response.granted) return election_.add_rejection(from, now());
     election_.add_vote(from);
     if (election_.has_won()) begin_vote(wall_clock);
 }
 
 void RaftNode::on_vote_request(int from, const VoteRequest& request) {
-    const bool is_free = hard_.vote == -1 || hard_.vote == from;
-    const bool is_granted =
-        request.term == hard_.term && is_free && log_.is_covered_by(request.last_index, request.last_term);
+    const bool may_vote_for_sender = hard_.vote == -1 || hard_.vote == from;
+    const bool is_granted = request.term == hard_.term && may_vote_for_sender &&
+                            log_.is_candidate_up_to_date(request.last_index, request.last_term);
     if (is_granted) {
         hard_.vote = from;
         election_.on_vote_granted(now());
@@ -181,8 +182,8 @@
     if (election_.has_won()) become_leader(wall_clock);
 }
 
-// Whether the sender leads in this term. One of an older term is told this one's; a second leader in a term
-// cannot be.
+// Whether the sender is the leader of this term. A leader of an older term gets a response with the current
+// term; a second leader in the same term is impossible, so its message is ignored.
 bool RaftNode::accept_leader(int from, Term term, LogIndex request_index,
                              const std::optional<LeadershipHeartbeat>& heartbeat) {
     if (term < hard_.term) {
@@ -197,13 +198,13 @@
         return false;
     }
     election_.follow(from, now());
-    learn_heartbeat(heartbeat);
+    update_heartbeat(heartbeat);
     return true;
 }
 
 void RaftNode::on_append_request(int from, AppendRequest request) {
     if (!accept_leader(from, request.term, request.previous_index, request.heartbeat)) return;
-    if (answer_mismatch(from, request)) return;
+    if (reject_mismatch(from, request)) return;
     const LogIndex end = request.previous_index + request.entries.size();
     if (!append_entries(std::move(request.entries))) return;
     log_.commit_up_to(std::min(request.commit_index, end));
@@ -211,26 +212,27 @@
                               std::max(end, log_.snapshot_index())});
 }
 
-// Where the entry before the request's is not held as the leader has it, says so and from where the leader
-// may try. Committed entries are the leader's too; those within the snapshot have no term any more, and
-// match.
-bool RaftNode::answer_mismatch(int from, const AppendRequest& request) {
+// If the entry before the request's entries differs from the leader's or is missing, sends a rejection with
+// the index after which the leader may retry, and returns true. Entries up to the snapshot's index are
+// committed, so they match the leader's; their terms are no longer known.
+bool RaftNode::reject_mismatch(int from, const AppendRequest& request) {
     const LogIndex previous = request.previous_index;
     if (previous <= log_.snapshot_index()) return false;
-    LogIndex retry_behind = log_.last_index();
+    LogIndex retry_after_index = log_.last_index();
     if (previous <= log_.last_index()) {
         const Term held_term = log_.term_at(previous);
         if (held_term == request.previous_term) return false;
-        // The whole term is skipped: the leader has another one there.
-        LogIndex behind = previous - 1;
-        while (behind > log_.commit_index() && log_.term_at(behind) == held_term) --behind;
-        retry_behind = std::max(behind, log_.commit_index());
+        // Skips the whole term, because the leader has another term at this index.
+        LogIndex index_before_term = previous - 1;
+        while (index_before_term > log_.commit_index() && log_.term_at(index_before_term) == held_term)
+            --index_before_term;
+        retry_after_index = std::max(index_before_term, log_.commit_index());
     }
-    send(from, AppendResponse{hard_.term, request.round, previous, false, retry_behind});
+    send(from, AppendResponse{hard_.term, request.round, previous, false, retry_after_index});
     return true;
 }
 
-// False: they contradict what is committed, as no leader could.
+// False: the entries contradict committed ones, which no valid leader sends.
 bool RaftNode::append_entries(std::vector<LogEntry> entries) {
     for (LogEntry& entry : entries) {
         if (entry.index <= log_.snapshot_index()) continue;
@@ -254,12 +256,12 @@
     response.round = chunk.round;
     response.snapshot_index = chunk.snapshot_index;
     response.checksum = chunk.checksum;
-    // Where the snapshot's last entry is held, so is all of it; what is behind it stays, since it may be
-    // committed with this voter's copy.
-    const bool is_held = chunk.snapshot_index > log_.commit_index() &&
-                         chunk.snapshot_index <= log_.last_index() &&
-                         log_.term_at(chunk.snapshot_index) == chunk.snapshot_term;
-    if (is_held) log_.commit_up_to(chunk.snapshot_index);
+    // If the log has the snapshot's last entry, it has everything in the snapshot. Later entries stay,
+    // because they may be committed with the help of this voter's copy.
+    const bool has_last_entry = chunk.snapshot_index > log_.commit_index() &&
+                                chunk.snapshot_index <= log_.last_index() &&
+                                log_.term_at(chunk.snapshot_index) == chunk.snapshot_term;
+    if (has_last_entry) log_.commit_up_to(chunk.snapshot_index);
     if (chunk.snapshot_index <= log_.commit_index()) {
         snapshot_receiver_.reset();
         response.complete = true;
@@ -275,16 +277,16 @@
     send(from, response);
 }
 
-// Whether it answers a request that this voter, as the leader of this term, has sent; notes that it did.
-bool RaftNode::accept_answer(int from, Term term, std::uint64_t round) {
+// Whether this voter, as leader of this term, sent the request; if so, records the response.
+bool RaftNode::accept_response(int from, Term term, std::uint64_t round) {
     if (!leadership_ || term != hard_.term) return false;
     if (round > leadership_->round()) {
         ++ignored_messages_;
         return false;
     }
-    if (leadership_->follower(from).on_answer(round, now())) {
+    if (leadership_->follower(from).record_response(round, now())) {
         leadership_->confirm_rounds();
-        learn_heartbeat(leadership_->heartbeat(log_.commit_index()));
+        update_heartbeat(leadership_->heartbeat(log_.commit_index()));
     }
     return true;
 }
@@ -292,16 +294,16 @@
 void RaftNode::on_append_response(int from, const AppendResponse& response) {
     const bool is_to_this_leader = leadership_ && response.term == hard_.term;
     if (is_to_this_leader && response.matched && response.match_index > log_.last_index()) {
-        ++ignored_messages_;  // it claims what was never sent
+        ++ignored_messages_;  // it acknowledges entries that were never sent
         return;
     }
-    if (!accept_answer(from, response.term, response.round)) return;
+    if (!accept_response(from, response.term, response.round)) return;
     if (leadership_->follower(from).on_append_response(response, log_.snapshot_index()))
         advance_commit_index();
 }
 
 void RaftNode::on_snapshot_response(int from, const SnapshotResponse& response) {
-    if (!accept_answer(from, response.term, response.round)) return;
+    if (!accept_response(from, response.term, response.round)) return;
     if (leadership_->follower(from).on_snapshot_response(response, now())) advance_commit_index();
 }
 
--- a/src/cluster/raft/raft_node.h
+++ b/src/cluster/raft/raft_node.h
@@ -1,11 +1,11 @@
-// One voter of a Raft group: an ordered log by the algorithm of Ongaro and Ousterhout (2014) with pre-vote
-// and check-quorum as in etcd/raft. What the entries say is opaque here.
+// One voter of a Raft group: a replicated log by the algorithm of Ongaro and Ousterhout (2014) with pre-vote
+// and check-quorum as in etcd/raft. Entry bodies are opaque.
 //
-// No I/O and no clock of its own. The driver calls tick(), receive() and propose(), takes ready(), does what
-// it says in its order (the disk first, then the messages) and calls persisted(). One thread at a time.
+// No I/O and no clock of its own. The driver calls tick(), receive() and propose(), takes ready(), carries it
+// out in order (first disk writes, then messages) and calls persisted(). Not thread-safe.
 //
-// RaftNode routes events to the parts with one job each: RaftLog (entries, commit index, what is on disk),
-// Election (role, votes, time-outs), Leadership (followers' progress, heartbeat rounds), SnapshotReceiver.
+// RaftNode routes events to its components: RaftLog (entries, commit index, persisted index), Election (role,
+// votes, timeouts), Leadership (progress of followers, heartbeat rounds), SnapshotReceiver.
 #pragma once
 
 #include <optional>
@@ -26,68 +26,68 @@
 class RaftNode {
 public:
     struct Settings {
-        int voters = 1;          // 1, 3, 5 or 7; the same at all of them
-        int self = 0;            // this one's number, below `voters`
-        std::uint64_t seed = 0;  // of the randomized time-outs
+        int voters = 1;          // 1, 3, 5 or 7; the same on all voters
+        int self = 0;            // this voter's number, below `voters`
+        std::uint64_t seed = 0;  // of the randomized timeouts
         Duration heartbeat_interval = std::chrono::milliseconds(150);
-        // A follower that hears of no leader for this long, and up to as long again, stands for election; a
-        // leader that no majority answers for this long steps down.
+        // A follower starts an election after one to two times this without a message from a leader; a leader
+        // steps down after this without responses from a majority.
         Duration election_timeout = std::chrono::milliseconds(700);
-        std::size_t max_message_bytes = 256 * 1024;           // of entries in one message, or one entry
-        std::size_t max_uncommitted_bytes = 4 * 1024 * 1024;  // of entries; propose() rejects what is beyond
+        std::size_t max_message_bytes = 256 * 1024;  // of entries in one message; one entry may be larger
+        std::size_t max_uncommitted_bytes = 4 * 1024 * 1024;  // of entries; propose() rejects further ones
         std::size_t snapshot_chunk_bytes = 256 * 1024;
-        std::size_t max_inflight_bytes =
-            1024 * 1024;  // of entries, or of a snapshot, on their way to one voter
+        // Of entries or of a snapshot that are sent to one voter but not yet acknowledged.
+        std::size_t max_inflight_bytes = 1024 * 1024;
     };
     using Ready = raft::Ready;
 
-    // As it was on disk. `entries` follow one another, the first behind the snapshot's index.
+    // From the persisted state. `entries` are consecutive, from the one after the snapshot's index on.
     RaftNode(const Settings& settings, const HardState& hard, LogSnapshot snapshot,
              std::vector<LogEntry> entries);
     RaftNode(const RaftNode&) = delete;
     RaftNode& operator=(const RaftNode&) = delete;
 
-    // `now` is Unix time; it may stand still, jump or go back. No safety depends on it but a
-    // LeadershipHeartbeat's `at`, which is never later than the `now` that was given when the heartbeat round
-    // began.
-    void tick(Timestamp now);  // every 20 ms or so
-    // A message as another voter sent it; what is malformed or contradicts what is known is counted and
-    // ignored.
+    // `now` is Unix time; it may stand still, jump or go back. Only LeadershipHeartbeat::at relies on it for
+    // safety: it is never later than the `now` that was passed when the heartbeat round began.
+    void tick(Timestamp now);  // call about every 20 ms
+    // Handles a message from another voter. A message that is malformed or contradicts known state is counted
+    // and ignored.
     void receive(Timestamp now, int from, std::string_view message);
-    // By the leader: the index that the entry will have if it is committed. 0: this voter does not lead, the
-    // body is empty or over kMaxEntryBytes, or too much is uncommitted.
+    // Appends an entry on the leader; returns the index that it has if it is committed. 0: this voter is not
+    // the leader, the body is empty or over kMaxEntryBytes, or max_uncommitted_bytes is exceeded.
     LogIndex propose(Timestamp now, std::string body);
 
-    // Empty while something of the last one is to go to disk and persisted() was not called.
+    // After a result that needs a disk write, returns an empty one until persisted() is called.
     Ready ready();
-    void persisted(Timestamp now);  // what the last ready() held is on disk
+    void persisted(Timestamp now);  // the last result of ready() is on disk
 
     bool is_leader() const { return election_.role() == Role::kLeader; }
-    std::optional<int> leader() const;  // as far as is known
+    std::optional<int> leader() const;  // nothing: unknown
     Term term() const { return hard_.term; }
     LogIndex commit_index() const { return log_.commit_index(); }
     LogIndex last_index() const { return log_.last_index(); }
-    // Of the entries held; last_index() + 1: none.
+    // The first entry in the log; last_index() + 1: there is none.
     LogIndex first_index() const { return log_.snapshot_index() + 1; }
-    // The newest that is known: the leader's own, or as it told with its heartbeats. Nothing until an entry
-    // of the term is committed.
+    // The newest one known: the leader's own, or the one received from the leader. Nothing until an entry of
+    // the term is committed.
     std::optional<LeadershipHeartbeat> heartbeat() const { return heartbeat_; }
 
-    // Drops entries up to the snapshot's index, which was given out by ready() as committed; a voter that
-    // needs them gets this snapshot. What is held between two compactions is bounded by who calls this;
-    // beside it one snapshot for each voter that is being brought up. Any other index changes nothing.
+    // Drops entries up to the snapshot's index; a voter that needs them gets this snapshot. An index that
+    // ready() has not delivered as committed, or that is not newer than the last snapshot, changes nothing.
+    // The caller bounds memory by calling this often enough; a snapshot transfer may keep one older snapshot
+    // per voter.
     void compact(LogSnapshot snapshot) { log_.compact(std::move(snapshot)); }
 
-    // Messages that were malformed, contradicted what is known or came from nobody.
+    // Messages that were malformed, contradicted known state or did not come from another voter.
     std::uint64_t ignored_messages() const { return ignored_messages_; }
-    // Messages of another version.
+    // Messages with another encoding version.
     std::uint64_t unknown_versions() const { return unknown_versions_; }
 
 private:
     Timestamp now() const { return clock_.now(); }
     void send(int to, const Message& message);
     template <typename Request>
-    void ask_all_for_votes(Term term);
+    void request_votes(Term term);
 
     // Changes of term and role.
     void enter_later_term(Term term);
@@ -108,17 +108,17 @@
 
     bool accept_leader(int from, Term term, LogIndex request_index,
                        const std::optional<LeadershipHeartbeat>& heartbeat);
-    bool accept_answer(int from, Term term, std::uint64_t round);
-    bool answer_mismatch(int from, const AppendRequest& request);
+    bool accept_response(int from, Term term, std::uint64_t round);
+    bool reject_mismatch(int from, const AppendRequest& request);
     bool append_entries(std::vector<LogEntry> entries);
 
-    void learn_heartbeat(const std::optional<LeadershipHeartbeat>& heartbeat);
+    void update_heartbeat(const std::optional<LeadershipHeartbeat>& heartbeat);
     void begin_heartbeat_round(Timestamp wall_clock);
     void advance_commit_index();
 
     const Settings settings_;
     HardState hard_;
-    HardState persisted_hard_;  // as it was last given to the driver
+    HardState persisted_hard_;  // last given to the driver
     RaftLog log_;
     Election election_;
     std::optional<Leadership> leadership_;  // while this voter leads
@@ -126,7 +126,7 @@
     std::optional<LeadershipHeartbeat> heartbeat_;
     MonotonicClock clock_;
     std::vector<std::pair<int, std::string>> messages_;
-    bool is_persisting_ = false;  // the driver is writing what it took
+    bool is_persisting_ = false;  // the driver is writing the last result of ready()
     std::uint64_t ignored_messages_ = 0;
     std::uint64_t unknown_versions_ = 0;
 };
--- a/src/cluster/raft/snapshot_receiver.h
+++ b/src/cluster/raft/snapshot_receiver.h
@@ -1,4 +1,5 @@
-// Puts a leader's snapshot together from its chunks, on a voter whose log ends before the leader's begins.
+// Assembles a leader's snapshot from its chunks, on a voter whose log ends before the leader's begins.
+// RaftNode owns it.
 #pragma once
 
 #include <string>
@@ -10,12 +11,12 @@
 class SnapshotReceiver {
 public:
     struct Progress {
-        std::uint64_t next_offset = 0;  // bytes; what is wanted next
-        bool is_corrupt = false;        // all of it came and failed its checksum; it begins anew
+        std::uint64_t next_offset = 0;  // of the chunk expected next, bytes
+        bool is_corrupt = false;        // the whole state failed its checksum; the transfer restarts
         std::optional<LogSnapshot> complete;
     };
-    // A chunk that does not follow what is held only tells what is wanted; one of another snapshot counts
-    // only where that begins.
+    // A chunk that is not the next one is ignored; the result states the expected offset. A chunk of another
+    // snapshot restarts the assembly if its offset is 0, and is ignored otherwise.
     Progress add(const SnapshotChunk& chunk);
     void reset() { *this = SnapshotReceiver(); }
 
@@ -26,7 +27,7 @@
     Term term_ = 0;
     std::uint64_t checksum_ = 0;
     std::uint64_t total_bytes_ = 0;
-    std::string state_;  // so far
+    std::string state_;  // received so far
 };
 
 }  // namespace linnetlead::raft
