--- a/src/cluster/health/health_codec.cpp
+++ b/src/cluster/health/health_codec.cpp
@@ -15,24 +15,24 @@
 
 namespace {
 
-// Sums are sent as whole numbers of these parts.
-constexpr double kScale = 16, kSlownessScale = 64;
-// More attempts are sent as so many, with all sums made smaller alike.
+// Sums are sent as integers: multiplied by these factors and rounded.
+constexpr double kCountScale = 16, kSlownessScale = 64;
+// With more attempts, all sums of the report are scaled down to this many attempts.
 constexpr double kMaxAttemptsSent = 4000;
-// By which rounding may make sums contradict each other.
-constexpr double kRounding = 0.2;
-constexpr double kMaxLogSlowness = 2.6;  // of one attempt
+// Tolerance for rounded sums that contradict each other.
+constexpr double kRoundingTolerance = 0.2;
+constexpr double kMaxLogSlowness = 2.6;  // of one attempt, ln of the ratio
 
 json encode_report(const EndpointReport& report, Timestamp now) {
     const DecayingStats& stats = report.stats;
-    const double reduced = std::max(1.0, stats.attempts / kMaxAttemptsSent);
+    const double reduction = std::max(1.0, stats.attempts / kMaxAttemptsSent);
     return {report.endpoint_hash,
             report.endpoint_process,
             std::max<std::int64_t>((now - stats.at) / 1ms, 0),
-            std::lround(stats.attempts / reduced * kScale),
-            std::lround(stats.failures / reduced * kScale),
-            std::lround(stats.answered / reduced * kScale),
-            std::lround(stats.log_slowness / reduced * kSlownessScale)};
+            std::lround(stats.attempts / reduction * kCountScale),
+            std::lround(stats.failures / reduction * kCountScale),
+            std::lround(stats.answered / reduction * kCountScale),
+            std::lround(stats.log_slowness / reduction * kSlownessScale)};
 }
 
 bool is_report(const json& from) {
@@ -46,17 +46,17 @@
     report.endpoint_hash = from[0].get<std::uint32_t>();
     report.endpoint_process = from[1].get<std::uint16_t>();
     report.stats.at = sent - std::chrono::milliseconds(from[2].get<std::int64_t>());
-    report.stats.attempts = from[3].get<double>() / kScale;
-    report.stats.failures = from[4].get<double>() / kScale;
-    report.stats.answered = from[5].get<double>() / kScale;
+    report.stats.attempts = from[3].get<double>() / kCountScale;
+    report.stats.failures = from[4].get<double>() / kCountScale;
+    report.stats.answered = from[5].get<double>() / kCountScale;
     report.stats.log_slowness = from[6].get<double>() / kSlownessScale;
     return report;
 }
 
 bool is_possible(const DecayingStats& stats) {
     return stats.attempts >= 0 && stats.failures >= 0 && stats.answered >= 0 &&
-           stats.failures + stats.answered <= stats.attempts + kRounding &&
-           std::abs(stats.log_slowness) <= kMaxLogSlowness * stats.answered + kRounding;
+           stats.failures + stats.answered <= stats.attempts + kRoundingTolerance &&
+           std::abs(stats.log_slowness) <= kMaxLogSlowness * stats.answered + kRoundingTolerance;
 }
 
 std::string hex_of(std::uint32_t hash) {
--- a/src/cluster/health/health_evidence.h
+++ b/src/cluster/health/health_evidence.h
@@ -1,5 +1,6 @@
-// What one gateway has seen of each endpoint, as sums that decay: attempts, failures, and how much slower
-// than usual the answered ones were. No I/O and no clock: the caller passes the time.
+// Statistics of one gateway's own attempts at each endpoint, as decaying sums: attempts, failures, and how
+// much slower than usual the successful attempts were. SharedHealth feeds it and reports it to the keepers.
+// No I/O and no clock: the caller passes the time.
 #pragma once
 
 #include <string>
@@ -14,15 +15,16 @@
 using policy::Duration;
 using policy::Timestamp;
 
-// Sums with forward decay (Cormode et al., 2009): they are as of `at` and halve every kHalfLife from then on.
+// Exponentially decaying sums (forward decay, Cormode et al., 2009): valid at the time `at`, halved with
+// every kHalfLife after it.
 struct DecayingStats {
     Timestamp at{};
     double attempts = 0;
-    double failures = 0;      // of the attempts
-    double answered = 0;      // of the attempts, whose latency says something
-    double log_slowness = 0;  // sum over the answered of ln(latency / usual)
+    double failures = 0;      // failed attempts
+    double answered = 0;      // successful attempts; only their latency is evaluated
+    double log_slowness = 0;  // sum over the successful attempts of ln(latency / usual latency)
 
-    // As of then; a time before `at` changes nothing.
+    // Decays the sums to `now`; does nothing if `now` is before `at`.
     void decay_to(Timestamp now);
     DecayingStats decayed_to(Timestamp now) const;
 };
@@ -30,18 +32,19 @@
 
 class HealthEvidence {
 public:
-    // An endpoint of the list. What was seen of it before it last started is dropped.
+    // Adds or updates an endpoint of the list. A new start time resets its statistics.
     void set_endpoint(const EndpointId& endpoint, const std::string& kind, Timestamp started);
     void remove(const EndpointId& endpoint);
 
-    // An attempt has ended. A rejection says how busy the endpoint is and a cancelled attempt says nothing:
-    // neither counts.
+    // Records the end of an attempt. Rejected attempts are ignored, since they show load and not health; so
+    // are attempts that were cancelled or not sent.
     void on_attempt_end(Timestamp now, const EndpointId& endpoint, int traffic_class, double units,
                         policy::Outcome outcome, Duration latency);
-    // Null where the endpoint is not listed.
+    // Null if the endpoint is not listed.
     const DecayingStats* stats(const EndpointId& endpoint) const;
 
-    // Endpoints whose stats have changed, the latest change first; they count as unchanged from then on.
+    // Returns up to `limit` endpoints whose statistics have changed, the latest change first, and clears
+    // their change marks.
     std::vector<EndpointId> take_changed(std::size_t limit);
     void mark_changed(const EndpointId& endpoint);
     std::size_t size() const { return endpoints_.size(); }
@@ -57,8 +60,8 @@
         DecayingStats stats;
         bool changed = false;
     };
-    std::unordered_map<EndpointId, Endpoint> endpoints_;  // as long as the list
-    std::vector<EndpointId> changed_;                     // latest last; each endpoint once
+    std::unordered_map<EndpointId, Endpoint> endpoints_;  // the listed endpoints
+    std::vector<EndpointId> changed_;  // in order of change, latest last; each endpoint once
     LatencyBaseline baseline_;
 };
 
--- a/src/cluster/health/health_port.h
+++ b/src/cluster/health/health_port.h
@@ -1,4 +1,5 @@
-// What the shared health needs of its gateway, and what it reports to it.
+// The interface through which SharedHealth sends reports, accesses replicated records and notifies its
+// gateway. The gateway's server and the test workloads implement it.
 #pragma once
 
 #include <functional>
@@ -10,12 +11,12 @@
 namespace linnetlead::health {
 
 enum class HealthEventKind {
-    kOpinion,     // of this gateway, as a keeper, on an endpoint
-    kVerdict,     // on an endpoint, by all keepers' opinions
-    kOutlier,     // this gateway sees failing what the others see well
-    kNotOutlier,  // no longer
+    kOpinion,     // this gateway, as a keeper, changed its opinion on an endpoint
+    kVerdict,     // the verdict on an endpoint, derived from all keepers' opinions, changed
+    kOutlier,     // most endpoints fail at this gateway only: the fault is its own
+    kNotOutlier,  // this is over
 };
-// As it is logged.
+// The event's name in the log.
 const char* to_string(HealthEventKind kind);
 
 struct HealthEvent {
@@ -27,17 +28,18 @@
 class HealthPort {
 public:
     virtual ~HealthPort() = default;
-    // Sends a report to a keeper, if the datagram budget allows; it may be lost.
+    // Sends a datagram of reports to the gateway `gateway`, a keeper, if the transport's datagram budget
+    // allows it. It may be lost.
     virtual void send_report(int gateway, const std::string& payload) = 0;
-    // Writes an opinion's record, which all gateways come to hold, and which expires after `life`.
+    // Writes an opinion's record. It is replicated to all gateways and expires after `life`.
     virtual void publish_opinion(const std::string& key, std::string value, policy::Duration life) = 0;
     // Calls `act` with each record whose key has the prefix, in key order.
     virtual void for_each_opinion(const std::string& prefix,
                                   const std::function<void(const agreement::Record&)>& act) const = 0;
-    // Whether another gateway is up, as far as is known.
+    // Whether another gateway is up, according to the membership known here.
     virtual bool is_present(int gateway) const = 0;
     virtual void on_event(const HealthEvent& event) = 0;
-    // SharedHealth::set_aside() is another set now.
+    // SharedHealth::set_aside() has changed.
     virtual void on_set_aside_changed() = 0;
 };
 
--- a/src/cluster/health/keepers.h
+++ b/src/cluster/health/keepers.h
@@ -1,4 +1,5 @@
-// Which gateways keep the score board of an endpoint.
+// Chooses the keepers of an endpoint: the gateways that hold its score board, to which all others report.
+// Rendezvous hashing; SharedHealth calls it when the members or the endpoint list change.
 #pragma once
 
 #include <cstdint>
@@ -6,11 +7,11 @@
 
 namespace linnetlead::health {
 
-// The `count` present gateways with the highest hash of endpoint and gateway: all gateways that know of the
-// same members choose the same, and one that comes or goes moves only its own share.
+// Returns the `count` present gateways with the highest hash of endpoint and gateway. Gateways that know the
+// same members choose the same keepers, and a member that joins or leaves changes only its own assignments.
 std::vector<int> choose_keepers(std::uint32_t endpoint_hash, const std::vector<int>& present, int count);
 
-// A hash of the endpoint and a number, for choices that all gateways make alike.
+// Hashes the endpoint with a number, for choices that every gateway has to make alike.
 std::uint64_t hash_with(std::uint32_t endpoint_hash, std::uint64_t number);
 
 }  // namespace linnetlead::health
--- a/src/cluster/health/latency_baseline.cpp
+++ b/src/cluster/health/latency_baseline.cpp
@@ -9,17 +9,17 @@
 
 namespace {
 
-// However long one request took, it says no more than this about its endpoint (ln of the ratio).
+// Bounds the weight of a single very slow request (ln of the ratio).
 constexpr double kMaxLogSlowness = 2.5;
 constexpr double kMinLatencyS = 1e-4;
-constexpr double kMaxSizeUnits = 8;  // larger requests count as this size
+constexpr double kMaxSizeUnits = 8;  // larger requests share the median of this size
 
-// A median by steps: fast at first, then over some hundred requests.
+// Step sizes of the running median (in ln of latency): large at first, then it follows some hundred requests.
 constexpr double kFirstStep = 0.5;
 constexpr double kMinStep = 0.01;
 constexpr double kStepDecay = 0.96;
 
-// Fewer endpoints say nothing about all.
+// With fewer endpoints a shared deviation can't be told from a fault of one.
 constexpr std::ptrdiff_t kMinEndpoints = 3;
 
 }  // namespace
@@ -50,7 +50,7 @@
     median->value += direction * median->step;
     median->step = std::max(kMinStep, median->step * kStepDecay);
     add_recent({slowness, std::hash<EndpointId>{}(endpoint)});
-    if (++requests_since_update_ >= kUpdateCommonEvery) update_common();
+    if (++requests_since_update_ >= kCommonUpdateRequests) update_common();
     return slowness - common_;
 }
 
@@ -63,8 +63,8 @@
     }
 }
 
-// The median of the recent requests, if they were at several endpoints. All being faster than usual is no
-// reason to call one of them slow.
+// Sets the shared deviation to the median of the recent requests, if they went to enough endpoints. It is
+// never negative: when all endpoints are faster than usual, one at its usual latency is not slow.
 void LatencyBaseline::update_common() {
     requests_since_update_ = 0;
     common_ = 0;
--- a/src/cluster/health/latency_baseline.h
+++ b/src/cluster/health/latency_baseline.h
@@ -1,6 +1,7 @@
-// The usual latency of requests, to compare one endpoint's latency with: a running median for each endpoint
-// kind, traffic class and request size, and how far all endpoints are from it at present. What slows all
-// endpoints alike says nothing about one. No I/O and no clock.
+// The usual latency of requests, with which HealthEvidence compares each attempt: a running median for each
+// endpoint kind, traffic class and request size, and the current deviation that all endpoints share. The
+// shared deviation is subtracted, since a slowdown of all endpoints is no fault of one of them. No I/O and no
+// clock.
 #pragma once
 
 #include <cstdint>
@@ -18,18 +19,18 @@
 
 class LatencyBaseline {
 public:
-    // ln(latency / usual latency) of this request, less what all endpoints have in common at present; 0 where
-    // nothing is known yet. Takes the request into the baseline.
+    // Returns ln(latency / usual latency) of this request, less the deviation that all endpoints share; 0 if
+    // no usual latency is known yet. Adds the request to the baseline.
     double log_slowness(const std::string& kind, int traffic_class, double units, double latency_s,
                         const EndpointId& endpoint);
 
 private:
     static constexpr std::size_t kMaxMedians = 256;
     static constexpr std::size_t kRecentRequests = 48;
-    static constexpr int kUpdateCommonEvery = 8;  // requests
+    static constexpr int kCommonUpdateRequests = 8;  // between updates of common_
     struct Median {
         double value = 0;  // of ln(latency in seconds)
-        double step = 0;   // by which the next request moves it
+        double step = 0;   // change by the next request
         std::uint64_t requests = 0;
     };
     struct Recent {
@@ -41,10 +42,10 @@
     void update_common();
 
     std::map<std::tuple<std::string, int, int>, Median> medians_;  // by kind, class and size
-    std::vector<Recent> recent_;                                   // a ring, at all endpoints
+    std::vector<Recent> recent_;                                   // ring buffer, over all endpoints
     std::size_t next_recent_ = 0;
     int requests_since_update_ = 0;
-    double common_ = 0;  // log slowness of all endpoints, as of the last update
+    double common_ = 0;  // log slowness that all endpoints share, as of the last update
 };
 
 }  // namespace linnetlead::health
--- a/src/cluster/health/report_outbox.cpp
+++ b/src/cluster/health/report_outbox.cpp
@@ -11,14 +11,14 @@
 }
 
 void ReportOutbox::add(int keeper, const EndpointReport& report) {
-    HealthReports& reports = gathered_[keeper];
+    HealthReports& reports = unsent_[keeper];
     reports.reports.push_back(report);
     if (reports.reports.size() >= kReportsPerDatagram) send(keeper, reports);
 }
 
 bool ReportOutbox::has_room_for(std::size_t keepers) const {
     const auto unsent = static_cast<std::size_t>(std::count_if(
-        gathered_.begin(), gathered_.end(), [](const auto& one) { return !one.second.reports.empty(); }));
+        unsent_.begin(), unsent_.end(), [](const auto& one) { return !one.second.reports.empty(); }));
     return allowance_.available() >= static_cast<double>(unsent + keepers);
 }
 
@@ -33,7 +33,7 @@
 }
 
 void ReportOutbox::flush() {
-    for (auto& [keeper, reports] : gathered_) {
+    for (auto& [keeper, reports] : unsent_) {
         if (!reports.reports.empty()) send(keeper, reports);
     }
 }
--- a/src/cluster/health/report_outbox.h
+++ b/src/cluster/health/report_outbox.h
@@ -1,4 +1,5 @@
-// Gathers reports for the keepers, several to a datagram, within a budget.
+// Batches reports to the keepers, several to a datagram, within a budget of datagrams. SharedHealth makes one
+// for each round of reports.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +10,8 @@
 
 namespace linnetlead::health {
 
-// A token bucket that holds one second's worth. take() without a look at available() overdraws it.
+// A token bucket that holds at most one second's worth of datagrams. take() does not check available(), so
+// the balance may become negative.
 class DatagramAllowance {
 public:
     explicit DatagramAllowance(double per_s, double initial = 0) : per_s_(per_s), tokens_(initial) {}
@@ -25,7 +27,7 @@
 
 class ReportOutbox {
 public:
-    // What each datagram says of this gateway.
+    // The fields of each datagram that describe this gateway.
     struct Sender {
         std::uint16_t process = 0;
         bool outlier = false;
@@ -33,10 +35,11 @@
     ReportOutbox(HealthPort& port, DatagramAllowance& allowance, const Sender& sender, Timestamp now)
         : port_(port), allowance_(allowance), sender_(sender), now_(now) {}
 
-    // Sends the keeper's datagram when it is full.
+    // Adds a report to the keeper's datagram and sends the datagram once it is full.
     void add(int keeper, const EndpointReport& report);
-    // Whether the budget has room for what is gathered and a datagram to each of so many more.
+    // Whether the budget allows the unsent datagrams and one more to each of `keepers` keepers.
     bool has_room_for(std::size_t keepers) const;
+    // Sends all datagrams that hold reports.
     void flush();
 
 private:
@@ -46,7 +49,7 @@
     DatagramAllowance& allowance_;
     Sender sender_;
     Timestamp now_;
-    std::map<int, HealthReports> gathered_;  // by keeper
+    std::map<int, HealthReports> unsent_;  // by keeper
 };
 
 }  // namespace linnetlead::health
--- a/src/cluster/health/score_board.cpp
+++ b/src/cluster/health/score_board.cpp
@@ -7,36 +7,37 @@
 
 namespace {
 
-constexpr double kMinAttempts = 0.2;  // decayed; an entry with less says nothing
+constexpr double kMinAttempts = 0.2;  // decayed; reports with fewer are ignored
 constexpr double kMinFailureConfidence = 3;
 constexpr double kDoubtfulSlowness = 1.3;
 constexpr double kDoubtfulFailureConfidence = 1;
-// The median of several is a little less certain than their mean (2/pi).
+// The median is less efficient than the mean, by 2/pi for a normal distribution.
 constexpr double kMedianEfficiency = 0.64;
 constexpr double kMinFailureVariance = 0.04;
 constexpr int kProcessEntryOffset = 10000;  // above any gateway's number
 
-struct Weighted {
+struct WeightedValue {
     double weight, value;
 };
 
-double total_weight(const std::vector<Weighted>& views) {
+double total_weight(const std::vector<WeightedValue>& views) {
     double total = 0;
-    for (const Weighted& view : views) total += view.weight;
+    for (const WeightedValue& view : views) total += view.weight;
     return total;
 }
 
-void sort_by_value(std::vector<Weighted>& views) {
+void sort_by_value(std::vector<WeightedValue>& views) {
     std::sort(views.begin(), views.end(),
-              [](const Weighted& a, const Weighted& b) { return a.value < b.value; });
+              [](const WeightedValue& a, const WeightedValue& b) { return a.value < b.value; });
 }
 
-// The mean of what the gateways that see it best see: a `quorum` of all weight, lowest values first.
-double lowest_mean(std::vector<Weighted>& views, double quorum) {
+// The weighted mean of the lowest values that make up a `quorum` of all weight: the view of the gateways that
+// observe the least fault.
+double lowest_mean(std::vector<WeightedValue>& views, double quorum) {
     sort_by_value(views);
     const double total = total_weight(views);
     double sum = 0, taken = 0;
-    for (const Weighted& view : views) {
+    for (const WeightedValue& view : views) {
         const double weight = std::min(view.weight, total * quorum - taken);
         if (weight <= 0) break;
         sum += weight * view.value;
@@ -45,12 +46,12 @@
     return taken > 0 ? sum / taken : 0;
 }
 
-// The value that a quorum of the weight is at or above.
-double quorum_value(std::vector<Weighted>& views, double quorum) {
+// The value that a `quorum` of all weight is at or above.
+double quorum_value(std::vector<WeightedValue>& views, double quorum) {
     sort_by_value(views);
     const double total = total_weight(views);
     double taken = 0;
-    for (const Weighted& view : views) {
+    for (const WeightedValue& view : views) {
         taken += view.weight;
         if (taken >= total * (1 - quorum)) return view.value;
     }
@@ -78,7 +79,7 @@
         endpoint_process_ = report.endpoint_process;
         reports_.clear();
         if (opinion_ != Opinion::kGood) set_opinion(now, Opinion::kGood);
-        bad_for_ = {};
+        min_bad_time_ = {};
     }
     const bool entry_per_process = thresholds_.test_seams.entry_per_process;
     Report& entry =
@@ -88,7 +89,7 @@
         entry.gateway_process == report.gateway_process && entry.stats.at >= report.stats.at;
     if (repeated_or_late) return;
     entry = report;
-    // Against the clock of a gateway that runs ahead: its entry would outlast its evidence.
+    // A gateway whose clock runs ahead would otherwise keep its entry from decaying.
     entry.stats.at = std::min(entry.stats.at, now);
 }
 
@@ -109,9 +110,10 @@
     for (const DecayingStats& one : seen) result.attempts += one.attempts;
     if (result.gateways < min_gateways || seen.empty()) return result;
     const bool plain_mean = thresholds_.test_seams.plain_mean;
-    // No gateway weighs more than the median one: a flood of attempts, or of reports, is one gateway's.
+    // No gateway weighs more than the median gateway, so that one that floods attempts or reports does not
+    // dominate.
     const double max_weight = plain_mean ? 1e9 : median_attempts(seen);
-    std::vector<Weighted> failures, slowness;
+    std::vector<WeightedValue> failures, slowness;
     double answered = 0, attempts = 0;
     for (const DecayingStats& one : seen) {
         const double part = std::min(1.0, max_weight / one.attempts);
@@ -158,12 +160,14 @@
     since_ = now;
 }
 
-// Against flapping: an endpoint that is good again and then bad once more stays bad for longer each time.
-// A doubtful one stays so for a while: an opinion that changes with the noise would be published each time.
+// Limits flapping: an endpoint that relapses soon after a recovery stays bad for twice as long each time. A
+// doubtful endpoint stays doubtful for min_doubtful, since each change of opinion is published and noise
+// would cause many.
 void ScoreBoard::update_good_or_doubtful(Timestamp now) {
     if (shows_bad(assessment_)) {
-        const bool again = last_bad_ > Timestamp{} && now - last_bad_ < thresholds_.flap_window + bad_for_;
-        bad_for_ = again ? std::min(2 * bad_for_, thresholds_.max_bad) : thresholds_.min_bad;
+        const bool again =
+            last_bad_at_ > Timestamp{} && now - last_bad_at_ < thresholds_.flap_window + min_bad_time_;
+        min_bad_time_ = again ? std::min(2 * min_bad_time_, thresholds_.max_bad) : thresholds_.min_bad;
         return set_opinion(now, Opinion::kBad);
     }
     const bool doubtful = shows_doubtful(assessment_);
@@ -175,10 +179,10 @@
 }
 
 void ScoreBoard::update_bad(Timestamp now, int min_gateways) {
-    if (now - since_ < bad_for_) return;
-    const bool unseen = now - last_seen_ >= thresholds_.retry_unseen;
-    if (!unseen && !shows_good(assessment_, min_gateways)) return;
-    last_bad_ = now;
+    if (now - since_ < min_bad_time_) return;
+    const bool unreported = now - last_reported_at_ >= thresholds_.retry_unreported;
+    if (!unreported && !shows_good(assessment_, min_gateways)) return;
+    last_bad_at_ = now;
     set_opinion(now, Opinion::kGood);
 }
 
@@ -188,7 +192,7 @@
         at = decayed ? reports_.erase(at) : std::next(at);
     }
     assessment_ = assess(now, min_gateways);
-    if (assessment_.gateways >= min_gateways) last_seen_ = now;
+    if (assessment_.gateways >= min_gateways) last_reported_at_ = now;
     const Opinion before = opinion_;
     if (opinion_ == Opinion::kBad) {
         update_bad(now, min_gateways);
--- a/src/cluster/health/shared_health.cpp
+++ b/src/cluster/health/shared_health.cpp
@@ -15,18 +15,20 @@
 namespace {
 
 constexpr Duration kUpdateInterval = 100ms;
-constexpr Duration kKeeperUpdateInterval = 1s;  // who keeps what, and whether this gateway is an outlier
-// Of datagrams of one gateway, a second; more are dropped, so that one that floods is one of many.
+constexpr Duration kKeeperUpdateInterval = 1s;  // of the choice of keepers and the outlier state
+// Datagrams accepted from one gateway; more are dropped, so that a flooding gateway has no more influence
+// than others.
 constexpr double kMaxReceivedPerS = 30;
-// Reports from further away are of a clock that is wrong, or of a gateway that stood still.
+// Reports outside these limits come from a gateway with a wrong clock, or one that was stalled; they are
+// ignored.
 constexpr Duration kMaxAhead = 1s, kMaxReportAge = 1min;
-// An endpoint is set aside, or not, for such a time.
+// An endpoint is set aside, or not, for a whole time slice.
 constexpr Duration kSetAsideSlice = 250ms;
 constexpr Duration kOpinionLife = 20s, kOpinionRepeat = 8s;
 constexpr int kLargeGroup = 30;  // gateways
 constexpr int kLargeGroupKeepers = 2;
 
-// An endpoint counts as failing here alone from so many attempts and such a failure rate on.
+// Minimum attempts and failure rate of an endpoint that counts as failing at this gateway only.
 constexpr double kMinOutlierAttempts = 3, kMinOutlierFailureRate = 0.4;
 
 }  // namespace
@@ -47,7 +49,7 @@
     settings_.keepers = settings_.shared ? std::min(settings_.keepers, settings_.gateways) : 1;
 }
 
-// One gateway alone makes no opinion where there are others.
+// An opinion takes the reports of two gateways, unless there is only one.
 int SharedHealth::min_gateways() const { return settings_.shared ? 2 : 1; }
 
 // ---- The endpoint list ----------------------------------------------------------------------------------
@@ -132,8 +134,9 @@
         now, {settings_.self, settings_.process, endpoint.process(), stats, is_outlier_});
 }
 
-// Endpoints in doubt first, then the latest changed. Which goes first depends on the endpoint and on time,
-// never on what was seen: else bad reports would arrive before good ones.
+// Reports doubted endpoints first, then those with the latest change. The order does not depend on the
+// outcome of attempts: otherwise failures would be reported before successes, and the keepers' view would be
+// biased.
 void SharedHealth::send_reports(Timestamp now) {
     sent_reports_.refill(now);
     std::vector<EndpointId> changed = evidence_.take_changed(evidence_.size());
@@ -155,7 +158,8 @@
         }
     }
     outbox.flush();
-    // The oldest first, so that the latest are the first again.
+    // Marks the endpoints that were not reported, oldest first, so that the next call gets them in the same
+    // order.
     for (std::size_t i = changed.size(); i > reported; --i) evidence_.mark_changed(changed[i - 1]);
 }
 
@@ -171,7 +175,7 @@
         const auto id = ids_by_hash_.find(one.endpoint_hash);
         const auto kept = id == ids_by_hash_.end() ? boards_.end() : boards_.find(id->second);
         if (kept == boards_.end()) continue;
-        // Of a process that is not the one listed here: the sender's list is older or newer.
+        // The report is on another process of the endpoint: the sender has an older or newer endpoint list.
         if (one.endpoint_process != endpoints_.at(id->second).process()) continue;
         kept->second.board.add_report(
             now, {from, reports->gateway_process, one.endpoint_process, one.stats, reports->outlier});
@@ -183,11 +187,11 @@
 void SharedHealth::publish_opinion(Timestamp now, const Endpoint& endpoint, KeptBoard& kept) {
     const Opinion opinion = kept.board.opinion();
     if (kept.published == Opinion::kBad && opinion != Opinion::kBad) kept.recovered_at = now;
-    const bool nothing_to_say = opinion == Opinion::kGood && kept.published == Opinion::kGood;
-    if (opinion == kept.published && (nothing_to_say || now - kept.published_at < kOpinionRepeat)) return;
+    const bool stays_good = opinion == Opinion::kGood && kept.published == Opinion::kGood;
+    if (opinion == kept.published && (stays_good || now - kept.published_at < kOpinionRepeat)) return;
     kept.published = opinion;
     kept.published_at = now;
-    // A recovery is to be known for as long as the probation lasts.
+    // The record of a recovery has to last for the whole probation.
     const Duration life =
         opinion == Opinion::kBad ? kOpinionLife : std::max(kOpinionLife, 2 * settings_.probation_ramp);
     const PublishedOpinion published{opinion, kept.board.opinion_since(), kept.recovered_at,
@@ -207,10 +211,11 @@
         if (changed && opinion != Opinion::kDoubtful) {
             const Assessment& seen = kept.board.assessment();
             char text[200];
-            std::snprintf(text, sizeof(text),
-                          "%s is %s: %.2f times the usual, %.2f failing, %.1f attempts of %d gateways",
-                          id.c_str(), to_string(opinion), seen.slowness, seen.failure_rate, seen.attempts,
-                          seen.gateways);
+            std::snprintf(
+                text, sizeof(text),
+                "%s is %s: %.2f times the usual latency, %.2f failure rate, %.1f attempts of %d gateways",
+                id.c_str(), to_string(opinion), seen.slowness, seen.failure_rate, seen.attempts,
+                seen.gateways);
             port_.on_event({now, HealthEventKind::kOpinion, text});
         }
         publish_opinion(now, endpoints_.at(id), kept);
@@ -237,7 +242,7 @@
     std::vector<BadEndpoint> bad;
     double total_weight = 0;
     doubted_.clear();
-    std::unordered_map<EndpointId, VerdictSince> verdicts;  // other than healthy
+    std::unordered_map<EndpointId, TimedVerdict> verdicts;  // of the endpoints that are not healthy
     for (const auto& [id, endpoint] : endpoints_) {
         if (!endpoint.in_service) continue;
         total_weight += endpoint.weight;
@@ -256,7 +261,7 @@
     }
     for (auto& [id, endpoint] : endpoints_) {
         const auto at = verdicts.find(id);
-        const VerdictSince next = at == verdicts.end() ? VerdictSince{} : at->second;
+        const TimedVerdict next = at == verdicts.end() ? TimedVerdict{} : at->second;
         if (next.verdict != endpoint.verdict) {
             port_.on_event({now, HealthEventKind::kVerdict, id + " is " + to_string(next.verdict)});
         }
@@ -265,13 +270,15 @@
     }
 }
 
-// Where most of what this gateway sees fails here and not elsewhere, the fault is here.
+// This gateway is an outlier if at least half of the endpoints that no keeper doubts fail here: its own host
+// or network is then at fault.
 void SharedHealth::update_outlier(Timestamp now) {
     int seen = 0, failing_here = 0;
     evidence_.for_each([&](const EndpointId& id, const DecayingStats& stats) {
         const DecayingStats recent = stats.decayed_to(now);
         const Endpoint& endpoint = endpoints_.at(id);
-        // What a keeper doubts is seen elsewhere too, whether or not it may be set aside.
+        // Other gateways observe the faults of a doubted endpoint too, even if the limit keeps it from being
+        // degraded.
         if (recent.attempts < kMinOutlierAttempts || endpoint.verdict == Verdict::kDegraded ||
             doubted_.count(id) > 0) {
             return;
@@ -283,14 +290,14 @@
     if (outlier != is_outlier_) {
         port_.on_event({now, outlier ? HealthEventKind::kOutlier : HealthEventKind::kNotOutlier,
                         std::to_string(failing_here) + " of " + std::to_string(seen) +
-                            " workers fail here that the others see well"});
+                            " endpoints fail at this gateway only"});
     }
     is_outlier_ = outlier;
 }
 
 // ---- Setting aside --------------------------------------------------------------------------------------
 
-double SharedHealth::share_of(Timestamp now, const Endpoint& endpoint) const {
+double SharedHealth::request_share(Timestamp now, const Endpoint& endpoint) const {
     if (endpoint.verdict == Verdict::kDegraded) return settings_.degraded_share;
     if (endpoint.verdict == Verdict::kHealthy) return 1;
     const double elapsed = std::chrono::duration<double>(now - endpoint.since) / settings_.probation_ramp;
@@ -298,13 +305,14 @@
                       1.0);
 }
 
-// In each slice of time an endpoint is set aside or not, so that the share of slices in which it is not is
-// its share. The slices differ from gateway to gateway: together they give it that share of its requests.
+// Sets each endpoint aside in a pseudo-random selection of time slices, so that it is in use for its share of
+// them. The selection differs between gateways, so that the endpoint gets a steady share of the requests of
+// all together.
 void SharedHealth::update_set_aside(Timestamp now) {
-    constexpr std::uint64_t kSliceFactor = 10007;  // above any gateway's number
+    constexpr std::uint64_t kSliceFactor = 10007;  // greater than any gateway's number
     bool changed = false;
     for (const auto& [id, endpoint] : endpoints_) {
-        const double share = share_of(now, endpoint);
+        const double share = request_share(now, endpoint);
         const auto slice = static_cast<std::uint64_t>(now / kSetAsideSlice);
         const auto draw =
             hash_with(endpoint.hash, slice * kSliceFactor + static_cast<std::uint64_t>(settings_.self));
--- a/src/cluster/health/shared_health.h
+++ b/src/cluster/health/shared_health.h
@@ -1,9 +1,10 @@
-// Health of the endpoints as the whole group of gateways sees it. Each gateway reports what it has seen of an
-// endpoint (HealthEvidence) to the few gateways that keep that endpoint's score board (ScoreBoard); these
-// publish their opinions as records of the config agreement, and every gateway derives the same verdict from
-// the same records (verdicts.h). A degraded endpoint is set aside: it gets what no other can take, and a
-// small share by which its recovery is noticed. One on probation gets its share back in steps, slowly enough
-// for all gateways together. No I/O and no clock.
+// Health of the endpoints as observed by all gateways together. Each gateway reports its statistics of an
+// endpoint (HealthEvidence) to the few gateways that keep the endpoint's score board (ScoreBoard), its
+// keepers. Keepers publish their opinions as records of the config agreement, and every gateway derives the
+// same verdict from the same records (verdicts.h). A degraded endpoint is set aside most of the time: it gets
+// the requests that no other endpoint can take, and a small share of its usual requests, by which its
+// recovery is noticed. On probation its share grows back gradually, so slowly that the requests of all
+// gateways together don't overload it. The gateway's server calls it. No I/O and no clock.
 #pragma once
 
 #include <map>
@@ -25,36 +26,36 @@
     struct Settings {
         int gateways = 1;
         int self = 0;
-        std::uint16_t process = 0;  // of this gateway; another after each start
-        bool shared = true;         // false: each gateway goes by what it has seen itself
-        int keepers = 3;            // of an endpoint; at most two in a large group, where a report is costly
+        std::uint16_t process = 0;  // identifies this process of the gateway; differs after each start
+        bool shared = true;         // false: each gateway uses only its own statistics
+        int keepers = 3;  // of an endpoint; at most 2 in a large group, to limit the number of reports
         ScoreThresholds thresholds;
         double max_degraded_share = 1.0 / 3;                 // of all endpoints' weight
-        Duration probation_ramp = std::chrono::seconds(10);  // until the whole share is back
-        double slow_start_min_share = 0.2;                   // of its share, at the start of probation
-        double degraded_share = 0.05;                        // of its share, while degraded
-        double datagrams_per_s = 24;                         // of reports
+        Duration probation_ramp = std::chrono::seconds(10);  // until an endpoint has its whole share again
+        double slow_start_min_share = 0.2;  // of an endpoint's share, at the start of probation
+        double degraded_share = 0.05;       // of an endpoint's share, while degraded
+        double datagrams_per_s = 24;        // datagrams of reports that this gateway sends
     };
-    // `port` outlives it.
+    // `port` has to outlive this object.
     SharedHealth(const Settings& settings, HealthPort& port);
 
-    // A change of the endpoint list, or the whole list.
+    // Applies a change of the endpoint list, or the whole list.
     void on_endpoint_list(policy::EndpointListKind kind, const std::vector<policy::EndpointInfo>& entries);
     void on_attempt_end(Timestamp now, const EndpointId& endpoint, int traffic_class, double units,
                         policy::Outcome outcome, Duration latency);
-    // Reports of another gateway.
+    // Processes a datagram of reports from the gateway `from`.
     void on_report(Timestamp now, int from, const std::string& payload);
-    // Every 50 ms or so.
+    // To be called about every 50 ms.
     void tick(Timestamp now);
 
     Verdict verdict(const EndpointId& endpoint) const;
-    // Endpoints that get no first attempts at present.
+    // Endpoints that get no first attempts in the current time slice.
     const std::unordered_set<EndpointId>& set_aside() const { return set_aside_; }
     bool is_set_aside(const EndpointId& endpoint) const { return set_aside_.count(endpoint) > 0; }
     std::vector<EndpointId> degraded() const;
-    // This gateway sees failing what the others see well: the fault is here.
+    // Most endpoints fail at this gateway only: the fault is likely its own host or network.
     bool is_outlier() const { return is_outlier_; }
-    // Null where this gateway does not keep it.
+    // Null if this gateway is not a keeper of the endpoint.
     const ScoreBoard* board(const EndpointId& endpoint) const;
 
 private:
@@ -65,7 +66,7 @@
         bool in_service = true;
         std::vector<int> keepers;
         Verdict verdict = Verdict::kHealthy;
-        Timestamp since{};  // of the verdict: degraded, or recovered
+        Timestamp since{};  // when it became bad or recovered; used with the verdict
 
         std::uint16_t process() const { return process_hash_of(started); }
     };
@@ -74,7 +75,7 @@
         Timestamp published_at{}, recovered_at{};
         Opinion published = Opinion::kGood;
     };
-    struct VerdictSince {
+    struct TimedVerdict {
         Verdict verdict = Verdict::kHealthy;
         Timestamp since{};
     };
@@ -93,16 +94,16 @@
     KeeperOpinions opinions_on(const EndpointId& id, const Endpoint& endpoint) const;
     void update_verdicts(Timestamp now);
     void update_outlier(Timestamp now);
-    double share_of(Timestamp now, const Endpoint& endpoint) const;
+    double request_share(Timestamp now, const Endpoint& endpoint) const;
     void update_set_aside(Timestamp now);
 
     Settings settings_;
     HealthPort& port_;
     HealthEvidence evidence_;
-    std::unordered_map<EndpointId, Endpoint> endpoints_;  // as long as the list
+    std::unordered_map<EndpointId, Endpoint> endpoints_;  // the listed endpoints
     std::map<std::uint32_t, EndpointId> ids_by_hash_;
-    std::unordered_map<EndpointId, KeptBoard> boards_;  // of the endpoints that this gateway keeps
-    std::unordered_set<EndpointId> doubted_;            // by any keeper
+    std::unordered_map<EndpointId, KeptBoard> boards_;  // of the endpoints that this gateway is a keeper of
+    std::unordered_set<EndpointId> doubted_;            // doubtful or bad in the opinion of any keeper
     std::unordered_set<EndpointId> set_aside_;
     Timestamp next_update_{}, next_keeper_update_{};
     DatagramAllowance sent_reports_;
--- a/src/cluster/health/verdicts.cpp
+++ b/src/cluster/health/verdicts.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kShareTolerance = 1e-9;  // of floating-point sums of weights
+constexpr double kShareTolerance = 1e-9;  // rounding error of summed weights
 
 }  // namespace
 
--- a/src/cluster/health/verdicts.h
+++ b/src/cluster/health/verdicts.h
@@ -1,5 +1,5 @@
-// The verdict on an endpoint from its keepers' opinions. Pure: every gateway finds the same from the same
-// records.
+// Derives the verdict on an endpoint from its keepers' opinions; SharedHealth calls it. Pure functions: every
+// gateway derives the same verdict from the same records.
 #pragma once
 
 #include <cstdint>
@@ -12,17 +12,19 @@
 
 enum class Verdict {
     kHealthy,
-    kDegraded,   // set aside but for a trickle
-    kProbation,  // healthy again, and gets its share back in steps
+    kDegraded,   // gets only a small share of its requests, to notice its recovery
+    kProbation,  // recovered; its share of requests grows back gradually
 };
 const char* to_string(Verdict verdict);
 
-// The opinions of an endpoint's keepers.
+// Collects the opinions of an endpoint's keepers.
 class KeeperOpinions {
 public:
     void add(const PublishedOpinion& opinion);
+    // Whether any keeper's opinion is doubtful or bad.
     bool any_doubt() const { return any_doubt_; }
-    // Since when so many keepers hold it for bad, and since when so many have seen it recover.
+    // Since when `majority` keepers have considered it bad; none if fewer do. recovered_at() is the same for
+    // recoveries.
     std::optional<Timestamp> bad_since(int majority);
     std::optional<Timestamp> recovered_at(int majority);
 
@@ -37,8 +39,8 @@
     EndpointId id;
     double weight = 1;
 };
-// Those that are degraded: the longest bad first, up to `max_share` of the weight of all. Against setting
-// aside the whole list: when many endpoints look bad, the fault is not theirs.
+// Returns the endpoints to degrade: those that have been bad longest, up to `max_share` of `total_weight`.
+// The limit keeps most endpoints in use: when many look bad at once, the fault is unlikely to be theirs.
 std::vector<BadEndpoint> limit_degraded(std::vector<BadEndpoint> bad, double total_weight, double max_share);
 
 }  // namespace linnetlead::health
