--- a/src/cluster/statements/active_catalog.h
+++ b/src/cluster/statements/active_catalog.h
@@ -1,5 +1,6 @@
-// The statements and schema versions that are active at this gateway, and what endpoints have to have
-// prepared for them.
+// The statements and schema versions that are active at this gateway, and the preparation key of each
+// statement: what an endpoint has to have prepared to execute it. PreparedStatements updates it,
+// StatementPreparation reads it.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 
 class ActiveCatalog {
 public:
-    // Null where there is none of the name.
+    // Null if no statement has the name.
     const Statement* find(const std::string& name) const {
         const auto at = statements_.find(name);
         return at == statements_.end() ? nullptr : &at->second;
@@ -32,7 +33,7 @@
         schemas_ = std::move(schemas);
         update_keys();
     }
-    // Gateways with the same hash have the same keys in the same order.
+    // A hash of all names and keys: gateways with the same hash have the same keys in the same order.
     std::uint32_t keys_hash() const {
         std::string all;
         for (const auto& [name, key] : keys_) all += name + '=' + std::to_string(key) + '\n';
--- a/src/cluster/statements/parked_requests.h
+++ b/src/cluster/statements/parked_requests.h
@@ -1,5 +1,5 @@
-// Requests that wait for something: a definition or a drop for the catalog to become active, an execution for
-// an endpoint that can execute it, or for a change of the catalog to be over.
+// Requests that PreparedStatements holds back: a definition or a drop until the catalog with it is active, an
+// execution until an endpoint can execute it and no change of the catalog is in progress.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 struct ParkedRequest {
     enum class Awaits { kDefinition, kDrop, kExecution };
     Awaits awaits = Awaits::kExecution;
-    std::string statement;         // its name
-    agreement::Stamp stamp;        // of the definition that it made
-    policy::Timestamp deadline{};  // of an execution: then it is rejected
+    std::string statement;         // the statement's name
+    agreement::Stamp stamp;        // of the definition that the request stored
+    policy::Timestamp deadline{};  // an execution that is still parked then is rejected
 };
 
-// By the request's packed handle.
+// The key is the request's packed handle.
 using ParkedRequests = std::unordered_map<std::uint64_t, ParkedRequest>;
 constexpr std::size_t kMaxParkedRequests = 1024;
 
--- a/src/cluster/statements/prepared_statements.cpp
+++ b/src/cluster/statements/prepared_statements.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr Duration kKeeperUpdateInterval = 500ms;
-constexpr std::size_t kMaxPendingCatalogs = 4;  // the oldest are dropped
-// One proposal at a time: what changes meanwhile goes into the next, for this long at most.
+constexpr Duration kKeeperUpdateInterval = 500ms;  // also of checks for a catalog to propose
+constexpr std::size_t kMaxPendingCatalogs = 4;     // the oldest are dropped
+// Changes during a pending proposal go into the next one; a proposal that is pending for longer is
+// superseded.
 constexpr Duration kProposalTimeout = 10s;
-// Of the time until its deadline, the part that a parked request is not parked for: time to execute it.
-constexpr int kExecutionPart = 4;
+// A parked request leaves 1/4 of the time until its deadline for its execution.
+constexpr int kExecutionTimeDivisor = 4;
 
 StatementPreparation::Settings preparation_settings(const PreparedStatements::Settings& settings) {
     StatementPreparation::Settings made;
@@ -63,7 +64,8 @@
     return active && active->stamp == named.stamp && !active->text.empty();
 }
 
-// A catalog can be acted on where every definition that it names is here.
+// Reports a pending catalog as valid once every definition that it names has arrived, or as invalid if it
+// can't be decoded.
 void PreparedStatements::check_pending_catalogs(Timestamp now) {
     for (auto at = pending_catalogs_.begin(); at != pending_catalogs_.end(); ++at) {
         const auto statements = decode_catalog(at->second);
@@ -74,7 +76,7 @@
         const agreement::Version version = at->first;
         pending_catalogs_.erase(at);
         agreement_.set_check_result(now, kTopic, version, complete);
-        return;  // the list may have changed; the rest is looked at with the next record or tick
+        return;  // the call may have changed the list; the next record or tick checks the rest
     }
 }
 
@@ -102,7 +104,7 @@
     }
     catalog_.set_statements(std::move(next));
     event(now, StatementEventKind::kCatalogActive,
-          std::to_string(catalog_.statements().size()) + " forms in force");
+          std::to_string(catalog_.statements().size()) + " statements active");
     preparation_.on_catalog_change();
 }
 
@@ -118,7 +120,8 @@
     return std::max(agreement_.exclusive_from(kTopic), agreement_.exclusive_from("settings"));
 }
 
-// The decider of the group brings the catalog in line with the definitions that are records.
+// Proposes a catalog of all definitions among the records, if this gateway is the one that decides and the
+// active catalog differs.
 void PreparedStatements::propose_catalog(Timestamp now) {
     if (!agreement_.may_decide(now)) return;
     std::vector<Statement> defined;
@@ -136,7 +139,7 @@
     proposed_at_ = now;
     const std::uint64_t highest =
         std::max(agreement_.highest_proposed_number(kTopic), agreement_.active_version(kTopic).number);
-    // Where it is not taken, it is proposed again by the next tick.
+    // If the agreement refuses the proposal, a later tick repeats it.
     (void)agreement_.propose(now, kTopic, highest + 1, value);
 }
 
@@ -155,8 +158,8 @@
 }
 
 void PreparedStatements::on_payload(Timestamp now, const std::string& payload) {
-    if (const auto endpoint = preparation_.on_rejection_elsewhere(payload)) {
-        event(now, StatementEventKind::kForgotten, *endpoint + " has a form no more");
+    if (const auto endpoint = preparation_.on_rejection_notice(payload)) {
+        event(now, StatementEventKind::kForgotten, *endpoint + " lost a prepared statement");
     }
 }
 
@@ -220,8 +223,8 @@
     return Ruling::kHold;
 }
 
-// Where no endpoint can execute it yet, or a change of the catalog is not over everywhere, it is parked for
-// as long as its deadline lets it.
+// Parks the request, as long as its deadline permits, if no endpoint can execute the statement yet or other
+// gateways may still act on the previous catalog.
 proxy::StatementPort::Ruling PreparedStatements::execute(Timestamp now, Handle handle,
                                                          policy::Request& request, ParkedRequest parked) {
     const Statement* statement = catalog_.find(parked.statement);
@@ -236,8 +239,8 @@
     }
     parked.awaits = Awaits::kExecution;
     const Duration change_left = std::max(Duration{}, exclusive_from() - now);
-    parked.deadline =
-        std::min(request.due - (request.due - now) / kExecutionPart, now + settings_.max_wait + change_left);
+    parked.deadline = std::min(request.due - (request.due - now) / kExecutionTimeDivisor,
+                               now + settings_.max_wait + change_left);
     if (has_endpoint && exclusive_from() >= parked.deadline) {
         executing_.erase(handle.packed());
         return Ruling::kReject;
@@ -249,14 +252,14 @@
 PreparedStatements::Outcome PreparedStatements::outcome_of_definition(const ParkedRequest& parked) const {
     const Statement* statement = catalog_.find(parked.statement);
     if (statement && statement->stamp == parked.stamp) {
-        // "form NAME EDITION", without the schemas.
-        constexpr std::size_t kAroundName = 5 + 1 + 16;
+        // The answer is "form NAME EDITION", without the schemas.
+        constexpr std::size_t kBytesAroundName = 5 + 1 + 16;
         const std::string line = write_head(EndpointCommand::kExecute, *statement, catalog_.schemas());
         return {Outcome::Action::kAnswer, proxy::Verdict::kServed,
-                line.substr(0, kAroundName + parked.statement.size())};
+                line.substr(0, kBytesAroundName + parked.statement.size())};
     }
     const agreement::Record* record = agreement_.find_record(definition_key(parked.statement));
-    // Another definition stands under this name.
+    // A newer definition has replaced this one, or its record is gone.
     if (!record || parked.stamp < record->stamp()) {
         return {Outcome::Action::kAnswer, proxy::Verdict::kFailed, ""};
     }
@@ -295,7 +298,7 @@
         Outcome outcome = outcome_of(now, parked);
         if (outcome.action != Outcome::Action::kWait) done.emplace_back(packed, std::move(outcome));
     }
-    // Acting on one may enter here again, so all are taken out first.
+    // release() and answer() may call this function again, so the requests are removed first.
     for (const auto& [packed, outcome] : done) parked_.erase(packed);
     for (const auto& [packed, outcome] : done) {
         const Handle handle = Handle::unpacked(packed);
--- a/src/cluster/statements/statement_cache.cpp
+++ b/src/cluster/statements/statement_cache.cpp
@@ -85,7 +85,7 @@
     return at == caches_.end() ? nullptr : &at->second;
 }
 
-std::optional<EndpointId> StatementCaches::endpoint_with(std::uint32_t hash) const {
+std::optional<EndpointId> StatementCaches::find_endpoint(std::uint32_t hash) const {
     const auto at = ids_by_hash_.find(hash);
     return at == ids_by_hash_.end() ? std::nullopt : std::optional(at->second);
 }
@@ -105,7 +105,7 @@
         cache.endpoint_hash = hash;
         ids_by_hash_[hash] = entry.id;
         if (cache.started == entry.started) continue;
-        // Another process: it has nothing prepared.
+        // A new process of the endpoint has nothing prepared.
         const int keeper = cache.keeper;
         cache = StatementCache{};
         cache.endpoint_hash = hash;
@@ -163,7 +163,7 @@
     const auto published = decode_cache(record.value);
     if (!published) return;
     const char* const digits = record.key.c_str() + std::string_view(kCachePrefix).size();
-    const auto id = endpoint_with(static_cast<std::uint32_t>(std::strtoul(digits, nullptr, 16)));
+    const auto id = find_endpoint(static_cast<std::uint32_t>(std::strtoul(digits, nullptr, 16)));
     if (!id) return;
     StatementCache& cache = caches_.at(*id);
     if (published->process != cache.process() || published->keys_hash != catalog.keys_hash()) return;
--- a/src/cluster/statements/statement_gateway.h
+++ b/src/cluster/statements/statement_gateway.h
@@ -1,4 +1,5 @@
-// What the prepared statements need of their gateway, and what they report to it.
+// The interface through which PreparedStatements reaches endpoints and requests and notifies its gateway. The
+// gateway's server and the test workloads implement it.
 #pragma once
 
 #include <cstdint>
@@ -10,10 +11,10 @@
 namespace linnetlead::statements {
 
 enum class StatementEventKind {
-    kCatalogActive,  // another catalog is active
+    kCatalogActive,  // another catalog became active
     kForgotten,      // an endpoint has lost a statement that it had prepared
 };
-// As it is logged.
+// The event's name in the log.
 const char* to_string(StatementEventKind kind);
 
 struct StatementEvent {
@@ -25,17 +26,17 @@
 class StatementGateway {
 public:
     virtual ~StatementGateway() = default;
-    // Sends a preparation to an endpoint; PreparedStatements::on_prepared() follows.
+    // Sends a preparation to an endpoint. Calls PreparedStatements::on_prepared() with the result.
     virtual void prepare(const policy::EndpointId& endpoint, std::uint64_t preparation_key,
                          const std::string& body) = 0;
-    // A parked request goes on; it is asked for again by sending().
+    // Resumes a parked request; StatementPort::sending() is called for it before it is sent.
     virtual void release(proxy::Handle request) = 0;
-    // A parked request is answered.
+    // Answers a parked request.
     virtual void answer(proxy::Handle request, proxy::Verdict verdict, const std::string& value) = 0;
-    // PreparedStatements::unready() is another set now.
+    // PreparedStatements::unready() has changed.
     virtual void on_unready_changed() = 0;
     virtual void on_event(const StatementEvent& event) = 0;
-    // A request's body, and the same request with another body, of two parts.
+    // The body of a request, and a copy of the request whose body is `head` and `rest`.
     virtual std::string_view body_of(const proxy::Payload& payload) const = 0;
     virtual proxy::Payload with_body(const proxy::Payload& payload, std::string_view head,
                                      std::string_view rest) const = 0;
--- a/src/cluster/statements/statement_preparation.cpp
+++ b/src/cluster/statements/statement_preparation.cpp
@@ -14,9 +14,9 @@
 
 constexpr Duration kPreparationTimeout = 3s;
 constexpr Duration kRetryDelay = 700ms;        // after a failed preparation
-constexpr Duration kSchemaCheckInterval = 1s;  // of an endpoint that is on another schema version
+constexpr Duration kSchemaCheckInterval = 1s;  // of an endpoint that reported another schema version
 constexpr Duration kRecordLife = 120s, kRecordRepeat = 40s;
-constexpr Duration kPublishInterval = 400ms;  // changes of a cache go together
+constexpr Duration kPublishInterval = 400ms;  // batches the changes of a cache
 
 }  // namespace
 
@@ -35,7 +35,7 @@
 void StatementPreparation::on_catalog_change() {
     caches_.on_catalog_change(catalog_);
     usage_.retain_if([this](const std::string& name) { return catalog_.find(name) != nullptr; });
-    // Records of keepers that had this catalog before this gateway.
+    // Keepers that activated this catalog earlier may already have published caches for it.
     std::vector<agreement::Record> records;
     agreement_.for_each_record(kCachePrefix,
                                [&](const agreement::Record& record) { records.push_back(record); });
@@ -70,7 +70,7 @@
 
 // ---- Preparing ------------------------------------------------------------------------------------------
 
-std::vector<const Statement*> StatementPreparation::most_used_first(Timestamp now) const {
+std::vector<const Statement*> StatementPreparation::statements_by_usage(Timestamp now) const {
     std::vector<const Statement*> order;
     for (const auto& [name, statement] : catalog_.statements()) {
         if (!statement.text.empty()) order.push_back(&statement);
@@ -81,19 +81,19 @@
     return order;
 }
 
-// Preparations a second: less on an endpoint that is warming up.
-double StatementPreparation::pace_of(Timestamp now, const StatementCache& cache) const {
-    double warm = 1;
+// Preparations per second; fewer on an endpoint in slow start.
+double StatementPreparation::prepares_per_s_on(Timestamp now, const StatementCache& cache) const {
+    double share = 1;
     if (settings_.slow_start_window > Duration{} && cache.started > Timestamp{}) {
         const double elapsed =
             std::chrono::duration<double>(now - cache.started) / settings_.slow_start_window;
-        warm = std::clamp(settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * elapsed,
-                          settings_.slow_start_min_share, 1.0);
+        share = std::clamp(settings_.slow_start_min_share + (1 - settings_.slow_start_min_share) * elapsed,
+                           settings_.slow_start_min_share, 1.0);
     }
-    return settings_.prepares_per_s * warm;
+    return settings_.prepares_per_s * share;
 }
 
-bool StatementPreparation::is_on_other_schema(const StatementCache& cache, const Statement& statement) const {
+bool StatementPreparation::has_other_schema(const StatementCache& cache, const Statement& statement) const {
     return std::any_of(statement.schemas.begin(), statement.schemas.end(), [&](const std::string& name) {
         const auto reported = cache.reported_schemas.find(name);
         const auto active = catalog_.schemas().find(name);
@@ -105,7 +105,8 @@
 void StatementPreparation::prepare_on(Timestamp now, const EndpointId& id, StatementCache& cache,
                                       const std::vector<const Statement*>& statements) {
     const double elapsed_s = std::chrono::duration<double>(now - cache.refilled_at).count();
-    cache.tokens = std::min(1.0 + settings_.max_concurrent, cache.tokens + elapsed_s * pace_of(now, cache));
+    cache.tokens =
+        std::min(1.0 + settings_.max_concurrent, cache.tokens + elapsed_s * prepares_per_s_on(now, cache));
     cache.refilled_at = now;
     for (const Statement* statement : statements) {
         const bool busy = static_cast<int>(cache.in_progress.size()) >= settings_.max_concurrent;
@@ -114,8 +115,8 @@
         if (cache.has(key) || cache.in_progress.count(key) > 0) continue;
         if (const auto at = cache.retry_at.find(key); at != cache.retry_at.end() && at->second > now)
             continue;
-        // It is asked from time to time whether it has moved on, not for each statement.
-        if (is_on_other_schema(cache, *statement)) {
+        // An endpoint on another schema version is retried with one statement per interval, not with each.
+        if (has_other_schema(cache, *statement)) {
             if (now - cache.schema_checked_at < kSchemaCheckInterval) continue;
             cache.schema_checked_at = now;
         }
@@ -129,7 +130,7 @@
 
 void StatementPreparation::prepare(Timestamp now) {
     if (agreement_.fenced(now)) return;
-    const std::vector<const Statement*> statements = most_used_first(now);
+    const std::vector<const Statement*> statements = statements_by_usage(now);
     for (auto& [id, cache] : caches_.all()) {
         for (auto at = cache.in_progress.begin(); at != cache.in_progress.end();) {
             at = now - at->second > kPreparationTimeout ? cache.in_progress.erase(at) : std::next(at);
@@ -151,7 +152,7 @@
                                        std::uint64_t preparation_key, PreparationResult result,
                                        std::string_view error) {
     StatementCache* const cache = caches_.find(endpoint);
-    if (!cache || cache->in_progress.erase(preparation_key) == 0) return false;  // of the process before
+    if (!cache || cache->in_progress.erase(preparation_key) == 0) return false;  // a former process
     if (result == PreparationResult::kDone) {
         cache->prepared.insert(preparation_key);
         cache->reported_schemas.clear();
@@ -170,7 +171,7 @@
     return false;
 }
 
-// ---- What endpoints reject ------------------------------------------------------------------------------
+// ---- Rejections by endpoints ----------------------------------------------------------------------------
 
 void StatementPreparation::on_rejection(Timestamp now, const EndpointId& endpoint,
                                         const std::string& statement, const EndpointRejection& rejection) {
@@ -191,13 +192,13 @@
     }
 }
 
-std::optional<EndpointId> StatementPreparation::on_rejection_elsewhere(const std::string& payload) {
+std::optional<EndpointId> StatementPreparation::on_rejection_notice(const std::string& payload) {
     const json read = agreement::read_cbor(std::string_view(payload).substr(1));
     if (!read.is_array() || read.size() != 2 || !read[0].is_number_unsigned() ||
         !read[1].is_number_unsigned()) {
         return std::nullopt;
     }
-    auto endpoint = caches_.endpoint_with(read[0].get<std::uint32_t>());
+    auto endpoint = caches_.find_endpoint(read[0].get<std::uint32_t>());
     if (!endpoint) return std::nullopt;
     StatementCache& cache = *caches_.find(*endpoint);
     if (cache.keeper != settings_.self || cache.prepared.erase(read[1].get<std::uint64_t>()) == 0) {
@@ -207,7 +208,7 @@
     return endpoint;
 }
 
-// Requests for a statement go to other endpoints at once, without asking these.
+// Requests that execute a statement exclude the pool of unready endpoints, and so don't try them in vain.
 void StatementPreparation::update_unready(Timestamp now) {
     std::vector<const Statement*> in_use;
     usage_.for_each_recent(now, [&](const std::string& name) {
--- a/src/cluster/statements/statement_preparation.h
+++ b/src/cluster/statements/statement_preparation.h
@@ -1,5 +1,6 @@
-// Prepares the active statements on the endpoints that this gateway keeps, at the pace each endpoint bears,
-// and knows for all endpoints which statements they can execute. No I/O and no clock.
+// Prepares the active statements on the endpoints that this gateway is the keeper of, at a limited rate for
+// each endpoint, and tracks which statements each endpoint can execute. PreparedStatements calls it. No I/O
+// and no clock.
 #pragma once
 
 #include <cstdint>
@@ -26,13 +27,13 @@
     struct Settings {
         int gateways = 1;
         int self = 0;
-        double prepares_per_s = 10;       // on one endpoint that is warm
+        double prepares_per_s = 10;       // on one endpoint, after its slow start
         int max_concurrent = 2;           // preparations on one endpoint
-        double slow_start_min_share = 1;  // of the pace, on an endpoint that has just started
-        Duration slow_start_window{};     // until it has the whole pace
-        bool one_keeper = true;
+        double slow_start_min_share = 1;  // of the rate, on an endpoint that has just started
+        Duration slow_start_window{};     // until it gets the full rate
+        bool one_keeper = true;           // false: each gateway prepares on every endpoint
     };
-    // All outlive it.
+    // All references have to outlive this object.
     StatementPreparation(const Settings& settings, agreement::ConfigAgreement& agreement,
                          const ActiveCatalog& catalog, StatementGateway& gateway);
 
@@ -40,27 +41,28 @@
         caches_.on_endpoint_list(kind, entries);
     }
     void on_catalog_change();
-    // What endpoints reported of their schemas was against other versions.
+    // Retries endpoints that reported other schema versions at once, since the active versions have changed.
     void on_schema_change();
     void on_cache_record(const agreement::Record& record) { caches_.on_record(record, catalog_); }
     void assign_keepers() { caches_.assign_keepers(agreement_); }
-    // Starts preparations and publishes the caches that this gateway keeps.
+    // Starts preparations on the endpoints that this gateway is the keeper of, and publishes their caches.
     void prepare(Timestamp now);
-    // True where the endpoint has another statement prepared now.
+    // Records the result of a preparation; true if the endpoint now has one more statement prepared.
     bool on_prepared(Timestamp now, const EndpointId& endpoint, std::uint64_t preparation_key,
                      PreparationResult result, std::string_view error);
-    // An endpoint has rejected a request: its cache is not what was known, and the keeper is told.
+    // Corrects the known cache of an endpoint that has rejected a request, and notifies its keeper.
     void on_rejection(Timestamp now, const EndpointId& endpoint, const std::string& statement,
                       const EndpointRejection& rejection);
-    // The payload by which another gateway tells this one, the keeper. Returns the endpoint that it changed
-    // the cache of.
-    std::optional<EndpointId> on_rejection_elsewhere(const std::string& payload);
+    // Processes another gateway's notification to this gateway, the keeper. Returns the endpoint if its cache
+    // has changed.
+    std::optional<EndpointId> on_rejection_notice(const std::string& payload);
     static constexpr char kPayloadMark = 'F';  // its first byte
     void on_execute(Timestamp now, const std::string& statement) { usage_.add(now, statement); }
 
     bool can_execute(const EndpointId& endpoint, const Statement& statement) const;
     bool any_can_execute(const Statement& statement) const;
-    // Endpoints that can execute none of the statements in use. Told of changes by the gateway interface.
+    // Endpoints that can execute none of the recently used statements. StatementGateway::on_unready_changed()
+    // reports changes.
     const std::unordered_set<EndpointId>& unready() const { return unready_; }
     void update_unready(Timestamp now);
     std::size_t prepared_on(const EndpointId& endpoint) const;
@@ -69,9 +71,9 @@
 
 private:
     bool has_prepared(const StatementCache& cache, const Statement& statement) const;
-    std::vector<const Statement*> most_used_first(Timestamp now) const;
-    double pace_of(Timestamp now, const StatementCache& cache) const;
-    bool is_on_other_schema(const StatementCache& cache, const Statement& statement) const;
+    std::vector<const Statement*> statements_by_usage(Timestamp now) const;
+    double prepares_per_s_on(Timestamp now, const StatementCache& cache) const;
+    bool has_other_schema(const StatementCache& cache, const Statement& statement) const;
     void prepare_on(Timestamp now, const EndpointId& id, StatementCache& cache,
                     const std::vector<const Statement*>& statements);
     void publish(Timestamp now, StatementCache& cache);
--- a/src/cluster/statements/statement_usage.h
+++ b/src/cluster/statements/statement_usage.h
@@ -1,4 +1,5 @@
-// How much each statement was executed lately, so that those in most use are prepared first.
+// Counts the recent executions of each statement, so that StatementPreparation prepares the most used ones
+// first.
 #pragma once
 
 #include <cmath>
@@ -18,18 +19,19 @@
         usage.count = decayed(usage, now) + 1;
         usage.at = now;
     }
-    // Executions, of which half are forgotten every ten seconds.
+    // The number of executions, decayed with a half-life of kHalfLifeS.
     double count(Timestamp now, const std::string& name) const {
         const auto at = usage_.find(name);
         return at == usage_.end() ? 0.0 : decayed(at->second, now);
     }
-    // Calls `act` with the name of each that was executed within the last ten seconds, in order.
+    // Calls `act` with the name of each statement executed within kRecent, in the order of names.
     template <typename Act>
     void for_each_recent(Timestamp now, Act act) const {
         for (const auto& [name, usage] : usage_) {
             if (now - usage.at < kRecent) act(name);
         }
     }
+    // Removes the statements for whose names `keep` returns false.
     template <typename Keep>
     void retain_if(Keep keep) {
         for (auto at = usage_.begin(); at != usage_.end();) {
