--- a/src/cluster/distribution/acknowledgement_check.cpp
+++ b/src/cluster/distribution/acknowledgement_check.cpp
@@ -4,45 +4,50 @@
 
 namespace {
 
-constexpr std::uint32_t kMaxGateways = 1000000;  // that a relay may have downstream
+constexpr std::uint32_t kMaxGateways = 1000000;  // downstream of one relay
 
-std::string with_number(const char* claim, std::uint64_t number) { return claim + std::to_string(number); }
+std::string append_number(const char* text, std::uint64_t number) { return text + std::to_string(number); }
 
 std::string find_false_index(const Ack& ack, LogIndex max_acknowledgeable, const History& history) {
     if (ack.last_index > max_acknowledgeable)
-        return with_number("it has never been sent record ", ack.last_index);
+        return append_number("acknowledges a record that it was not sent: ", ack.last_index);
     if (ack.activation_index > ack.last_index)
-        return with_number("it does not hold settlement ", ack.activation_index);
+        return append_number("reports an active activation record beyond its last record: ",
+                             ack.activation_index);
     const Record* record = history.at(ack.activation_index);
     if (record && record->kind != RecordKind::kActivate)
-        return with_number("there is no settlement ", ack.activation_index);
+        return append_number("this record is not an activation: ", ack.activation_index);
     return {};
 }
 
 std::string find_false_count(const Ack& ack, Role role) {
     const std::uint32_t max_gateways = role == Role::kGateway ? 1 : kMaxGateways;
     if (ack.gateways > max_gateways || (role == Role::kGateway && ack.gateways != 1))
-        return with_number("it is not so many gateways: ", ack.gateways);
-    if (ack.fenced > ack.gateways) return with_number("more are fenced than there are: ", ack.fenced);
+        return append_number("reports an impossible number of gateways: ", ack.gateways);
+    if (ack.fenced > ack.gateways)
+        return append_number("reports more fenced gateways than gateways: ", ack.fenced);
     std::uint64_t sum = 0;
-    for (const ReplicationCount& each : ack.replicated) {
-        sum += each.gateways;
-        if (each.through_index > ack.last_index)
-            return with_number("those behind it hold more than it does: ", each.through_index);
+    for (const ReplicationCount& count : ack.replicated) {
+        sum += count.gateways;
+        if (count.through_index > ack.last_index)
+            return append_number("reports a downstream gateway ahead of its own last record: ",
+                                 count.through_index);
     }
-    if (sum > ack.gateways) return with_number("more hold something than there are: ", sum);
-    if (role == Role::kGateway && !ack.replicated.empty()) return "nobody is behind a gateway";
+    if (sum > ack.gateways) return append_number("reports replication by more gateways than it has: ", sum);
+    if (role == Role::kGateway && !ack.replicated.empty()) return "a gateway has no downstream gateways";
     return {};
 }
 
 std::string find_false_unsupported(const Ack& ack, const History& history) {
-    for (const UnsupportedCount& each : ack.unsupported) {
-        if (each.gateways > ack.gateways)
-            return with_number("more cannot take it than there are: ", each.gateways);
-        if (each.change > ack.last_index) return with_number("it does not hold change ", each.change);
-        const Record* record = history.at(each.change);
+    for (const UnsupportedCount& count : ack.unsupported) {
+        if (count.gateways > ack.gateways)
+            return append_number("reports a change as unsupported by more gateways than it has: ",
+                                 count.gateways);
+        if (count.change > ack.last_index)
+            return append_number("reports as unsupported a change that it does not hold: ", count.change);
+        const Record* record = history.at(count.change);
         if (record && record->kind != RecordKind::kChange)
-            return with_number("there is no change ", each.change);
+            return append_number("this record is not a change: ", count.change);
     }
     return {};
 }
--- a/src/cluster/distribution/acknowledgement_counts.cpp
+++ b/src/cluster/distribution/acknowledgement_counts.cpp
@@ -40,10 +40,10 @@
     return total;
 }
 
-std::uint32_t AcknowledgementCounts::replicated_through(LogIndex upto) const {
+std::uint32_t AcknowledgementCounts::replicated_through(LogIndex index) const {
     std::uint32_t sum = 0;
     const auto& all = total().replicated;
-    for (auto each = all.lower_bound(upto); each != all.end(); ++each) sum += each->second;
+    for (auto each = all.lower_bound(index); each != all.end(); ++each) sum += each->second;
     return sum;
 }
 
@@ -52,28 +52,28 @@
     return found == total().unsupported.end() ? UnsupportedCount{change, 0, {}} : found->second;
 }
 
-Ack AcknowledgementCounts::aggregate(LogIndex position, LogIndex behind) const {
+Ack AcknowledgementCounts::aggregate(LogIndex last_index, LogIndex scheduled_through) const {
     const Total& all = total();
     Ack ack;
-    ack.last_index = position;
+    ack.last_index = last_index;
     ack.gateways = all.gateways;
     ack.fenced = all.fenced;
     for (auto each = all.replicated.rbegin(); each != all.replicated.rend(); ++each) {
-        // One that is ahead of its relay holds what the relay holds.
-        const LogIndex upto = std::min(each->first, position);
-        if (!ack.replicated.empty() && ack.replicated.back().through_index == upto) {
+        // A gateway that is ahead of its relay is reported at the relay's last record.
+        const LogIndex index = std::min(each->first, last_index);
+        if (!ack.replicated.empty() && ack.replicated.back().through_index == index) {
             ack.replicated.back().gateways += each->second;
         } else if (ack.replicated.size() < kMaxReplicationCounts) {
-            ack.replicated.push_back({upto, each->second});
+            ack.replicated.push_back({index, each->second});
         } else {
-            ack.replicated.back().through_index = upto;
+            ack.replicated.back().through_index = index;
             ack.replicated.back().gateways += each->second;
         }
     }
-    // All hold what the relay holds: as said with nothing.
-    if (ack.replicated.size() == 1 && ack.replicated[0].through_index == position) ack.replicated.clear();
-    for (auto each = all.unsupported.upper_bound(behind);
-         each != all.unsupported.end() && each->first <= position &&
+    // An empty list means that all gateways hold every record of the relay.
+    if (ack.replicated.size() == 1 && ack.replicated[0].through_index == last_index) ack.replicated.clear();
+    for (auto each = all.unsupported.upper_bound(scheduled_through);
+         each != all.unsupported.end() && each->first <= last_index &&
          ack.unsupported.size() < kMaxUnsupportedCounts;
          ++each)
         ack.unsupported.push_back(each->second);
--- a/src/cluster/distribution/activation.h
+++ b/src/cluster/distribution/activation.h
@@ -1,6 +1,7 @@
-// When a change becomes active: the leader's rule. A change that all gateways hold, or whose
-// acknowledgement_timeout is over, gets its activation time with all before it; one that more than a share
-// of them cannot take is withdrawn. No I/O and no clock.
+// Decides when changes become active; the leading relay proposes the resulting records. A change that all
+// gateways hold, or whose acknowledgement timeout has passed, is scheduled for activation together with all
+// changes before it. A change that more than a configured share of gateways do not support is withdrawn. No
+// I/O and no clock.
 #pragma once
 
 #include "cluster/distribution/acknowledgement_counts.h"
@@ -15,24 +16,24 @@
         bool wait_for_all = false;
         double max_unsupported_share = 0;
     };
-    // So far apart at least, so that what piles up is settled together.
+    // Minimum time between two activation records, so that changes in quick succession share one.
     static constexpr Duration kMinInterval = std::chrono::milliseconds(100);
 
     explicit ActivationPolicy(const Settings& settings) : settings_(settings) {}
-    // From now on this one leads: what is not settled is settled afresh.
+    // This relay starts to lead: changes without an activation record are decided anew.
     void start_term(Timestamp now);
-    // The records to be proposed now, in this order. `counted`: the counts are those of all who are there.
+    // Returns the records to propose now, in this order. `has_all_counts`: `counts` covers all gateways.
     std::vector<Record> decide(Timestamp now, const History& history, const AcknowledgementCounts& counts,
-                               bool counted);
-    // It was not proposed after all.
-    void not_proposed(const Record& record);
+                               bool has_all_counts);
+    // The log did not accept this record; decide() returns it again later.
+    void on_not_proposed(const Record& record);
 
 private:
     Settings settings_;
-    std::map<LogIndex, Timestamp> first_seen_;  // changes that are not settled, since when
-    std::set<LogIndex> withdrawn_;              // proposed
-    LogIndex proposed_through_ = 0;             // proposed
-    Timestamp activation_time_{}, proposed_at_{};
+    std::map<LogIndex, Timestamp> first_seen_;  // changes without an activation record, by log index
+    std::set<LogIndex> proposed_withdrawals_;   // withdrawals proposed in this term
+    LogIndex proposed_through_ = 0;             // newest change in a proposed activation
+    Timestamp last_activation_time_{}, last_proposed_at_{};
 };
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/change.cpp
+++ b/src/cluster/distribution/change.cpp
@@ -17,8 +17,8 @@
     return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
 }
 
-std::uint64_t chained(std::uint64_t before, std::string_view text) {
-    return XXH64(text.data(), text.size(), before);
+std::uint64_t chain_hash(std::uint64_t seed, std::string_view text) {
+    return XXH64(text.data(), text.size(), seed);
 }
 
 }  // namespace
@@ -26,33 +26,33 @@
 const char* rejection_message(Rejection rejection) {
     switch (rejection) {
         case Rejection::kNone:
-            return "nothing is wrong";
+            return "accepted";
         case Rejection::kMalformed:
-            return "not of the form of a frame or a change";
+            return "malformed frame or change";
         case Rejection::kTooLarge:
-            return "over a bound of size";
+            return "exceeds a size limit";
         case Rejection::kUnknownKind:
-            return "a key of a kind that there is not";
+            return "unknown resource kind";
         case Rejection::kNoSuchKey:
-            return "takes away a key that is not there";
+            return "removes a key that does not exist";
         case Rejection::kStaleBase:
-            return "made against a revision since which one of its keys has changed";
+            return "one of its keys has changed since its base revision";
         case Rejection::kFutureBase:
-            return "made against a revision that is not there yet";
+            return "its base revision does not exist yet";
         case Rejection::kIdReused:
-            return "its id stands for another change";
+            return "its id belongs to a different change";
         case Rejection::kInvalidValue:
-            return "a value that no gateway could read";
+            return "a value that no gateway can parse";
         case Rejection::kBusy:
-            return "too many changes wait; come again";
+            return "too many pending changes; retry later";
         case Rejection::kNoLeader:
-            return "nobody orders changes now; come again";
+            return "no leader is available; retry later";
         case Rejection::kFalseAcknowledgement:
             return "acknowledges what was never sent to it";
         case Rejection::kTooManyFollowers:
-            return "as many followers as there may be; come again or go to another relay";
+            return "the relay has the maximum number of followers; retry later or use another relay";
     }
-    return "refused";
+    return "rejected";
 }
 
 bool is_known_resource_kind(std::string_view kind) {
@@ -83,11 +83,11 @@
 }
 
 std::uint64_t digest(const Change& change) {
-    // Each text is hashed from the one before on, so that texts put together otherwise are told apart.
-    std::uint64_t value = chained(change.base_revision, change.id);
+    // Each hash is the seed of the next, so that the boundaries between the strings count.
+    std::uint64_t value = chain_hash(change.base_revision, change.id);
     for (const Edit& edit : change.edits) {
-        value = chained(value, edit.key);
-        value = edit.value ? chained(value, *edit.value) : value + 1;
+        value = chain_hash(value, edit.key);
+        value = edit.value ? chain_hash(value, *edit.value) : value + 1;
     }
     return value;
 }
--- a/src/cluster/distribution/change.h
+++ b/src/cluster/distribution/change.h
@@ -1,6 +1,6 @@
-// What operators change: keyed resources (pools, plans, routes, tenants' terms), by transactions over some of
-// them. A change is given to any relay; the log of the relays' quorum gives it its number, and the state
-// after it is the revision of that number. No I/O and no clock.
+// Configuration changes by operators: transactions over keyed resources (pools, plans, routes, tenants'
+// terms). A change is submitted to any relay. The Raft log of the voting relays assigns it a log index, and
+// the state after the change is the revision with that number. No I/O and no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,51 +17,53 @@
 using policy::Duration;
 using policy::Timestamp;
 
-// Of a record of the log: from 1 on, without gaps; 0: none.
+// Position of a record in the log: from 1, without gaps; 0 means none.
 using raft::LogIndex;
-// The index of a change's record, as the revision of the state after it.
+// Log index of a change's record; identifies the state after that change.
 using Revision = LogIndex;
 
-constexpr std::size_t kMaxKeyBytes = 96;              // bytes
-constexpr std::size_t kMaxValueBytes = 16 * 1024;     // bytes
-constexpr std::size_t kMaxEdits = 8192;               // of a change
-constexpr std::size_t kMaxChangeBytes = 1024 * 1024;  // bytes of keys and values together
-constexpr std::size_t kMaxIdBytes = 64;               // bytes
+constexpr std::size_t kMaxKeyBytes = 96;
+constexpr std::size_t kMaxValueBytes = 16 * 1024;
+constexpr std::size_t kMaxEdits = 8192;               // per change
+constexpr std::size_t kMaxChangeBytes = 1024 * 1024;  // keys and values together
+constexpr std::size_t kMaxIdBytes = 64;
 
 struct Edit {
     std::string key;                   // KIND/NAME, such as "tenant/00000000b4d65521"
-    std::optional<std::string> value;  // none: the key is taken away
+    std::optional<std::string> value;  // nullopt removes the key
 };
 
 struct Change {
-    std::string id;  // drawn by who gives it: the same id with the same content is the same change
-    Revision base_revision =
-        0;  // the revision that it was made against: refused where one of its keys has changed since; 0: any
+    std::string id;  // chosen by the submitter; a retry with the same id and content is the same change
+    // Revision that the submitter has seen. The change is rejected if one of its keys has changed since; 0
+    // skips this check.
+    Revision base_revision = 0;
     std::vector<Edit> edits;
 };
 
-// Why a change, a frame or a follower is turned away; each has words of its own.
+// Why a change, a frame or a follower is rejected. The numbers are sent in frames.
 enum class Rejection {
     kNone,
-    kMalformed,             // no such frame or change; an empty change, a key twice in it
-    kTooLarge,              // one of the bounds above
-    kUnknownKind,           // of a key
-    kNoSuchKey,             // takes away a key that is not there
-    kStaleBase,             // made against a revision that is old for one of its keys
-    kFutureBase,            // made against a revision that is not there yet
-    kIdReused,              // its id stands for another content
-    kInvalidValue,          // a value that no gateway could read (the relay's own check)
-    kBusy,                  // too many changes wait; come again
-    kNoLeader,              // nobody orders changes now; come again
-    kFalseAcknowledgement,  // a follower that acknowledges what it was never sent
-    kTooManyFollowers,      // this relay has as many followers as it may have
+    kMalformed,             // not a valid frame or change; an empty change or one with a repeated key
+    kTooLarge,              // exceeds one of the limits above
+    kUnknownKind,           // the key is of an unknown resource kind
+    kNoSuchKey,             // removes a key that does not exist
+    kStaleBase,             // one of its keys has changed since the base revision
+    kFutureBase,            // the base revision does not exist yet
+    kIdReused,              // its id belongs to a change with other content
+    kInvalidValue,          // no gateway can parse the value (Relay::Callbacks::validate_value)
+    kBusy,                  // too many pending changes; retry later
+    kNoLeader,              // no leader is available; retry later
+    kFalseAcknowledgement,  // a follower acknowledged records that it was not sent
+    kTooManyFollowers,      // the relay has the maximum number of followers
 };
 const char* rejection_message(Rejection rejection);
 
-// The kinds of keys that there are: "pool", "plan", "route", "tenant", "reserve", "capacity", "move".
+// Whether `kind` is one of "pool", "plan", "route", "tenant", "reserve", "capacity", "move".
 bool is_known_resource_kind(std::string_view kind);
-// Of the change by itself: its form, its bounds and its kinds.
+// Checks the change without regard to the state: format, size limits and resource kinds.
 Rejection check(const Change& change);
+// Hash of the change's whole content; tells whether two changes with the same id are the same.
 std::uint64_t digest(const Change& change);
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/change_router.cpp
+++ b/src/cluster/distribution/change_router.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxWaiting = 1024;  // requesters that wait for an answer
+constexpr std::size_t kMaxRequesters = 1024;  // that await an answer
 constexpr std::uint64_t kSeedMask = 0x72656c6179ULL;
-const char* const kTooLateMessage = "no answer in time: give it again, with the same id";
+const char* const kTimeoutMessage = "no answer in time: give it again, with the same id";
 
 }  // namespace
 
 ChangeRouter::ChangeRouter(Port& port, std::uint64_t seed)
     : port_(port), next_request_(std::mt19937_64(seed ^ kSeedMask)()) {}
 
-std::size_t ChangeRouter::waiting() const {
+std::size_t ChangeRouter::requester_count() const {
     std::size_t sum = forwarded_.size();
     for (const auto& [index, requesters] : proposed_) sum += requesters.size();
     return sum;
@@ -32,10 +32,11 @@
     const auto reject = [&](Rejection rejection, std::string message) {
         answer(requester, {0, rejection, 0, std::move(message)});
     };
-    // What is invalid by itself need not travel.
+    // A malformed change is rejected without forwarding.
     if (const Rejection invalid = distribution::check(change); invalid != Rejection::kNone)
         return reject(invalid, {});
-    if (waiting() >= kMaxWaiting) return reject(Rejection::kBusy, "too many wait for an answer");
+    if (requester_count() >= kMaxRequesters)
+        return reject(Rejection::kBusy, "too many changes await an answer");
     if (port_.leads(now)) {
         const Proposal proposal = port_.propose(now, change);
         if (proposal.rejection != Rejection::kNone) return reject(proposal.rejection, proposal.message);
@@ -50,12 +51,12 @@
     port_.forward(Submit{request, change});
 }
 
-void ChangeRouter::on_answer(const Answer& given) {
-    const auto found = forwarded_.find(given.request);
+void ChangeRouter::on_answer(const Answer& received) {
+    const auto found = forwarded_.find(received.request);
     if (found == forwarded_.end()) return;
     const Requester requester = found->second;
     forwarded_.erase(found);
-    answer(requester, given);
+    answer(requester, received);
 }
 
 void ChangeRouter::on_committed(const Record& record) {
@@ -72,26 +73,26 @@
 }
 
 void ChangeRouter::expire(Timestamp now) {
-    const Answer too_late{0, Rejection::kNoLeader, 0, kTooLateMessage};
+    const Answer timeout{0, Rejection::kNoLeader, 0, kTimeoutMessage};
     for (auto each = forwarded_.begin(); each != forwarded_.end();) {
-        if (each->second.until > now) {
+        if (each->second.deadline > now) {
             ++each;
             continue;
         }
         const Requester requester = each->second;
         each = forwarded_.erase(each);
-        answer(requester, too_late);
+        answer(requester, timeout);
     }
     for (auto each = proposed_.begin(); each != proposed_.end();) {
         auto& requesters = each->second;
         for (std::size_t i = 0; i < requesters.size();) {
-            if (requesters[i].second.until > now) {
+            if (requesters[i].second.deadline > now) {
                 ++i;
                 continue;
             }
             const Requester requester = requesters[i].second;
             requesters.erase(requesters.begin() + static_cast<std::ptrdiff_t>(i));
-            answer(requester, too_late);
+            answer(requester, timeout);
         }
         each = requesters.empty() ? proposed_.erase(each) : std::next(each);
     }
--- a/src/cluster/distribution/history.cpp
+++ b/src/cluster/distribution/history.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::string_view kSealedKind = "linnetlead-distribution-1";
-constexpr std::size_t kPartSize = 256 * 1024;
+constexpr std::string_view kFileKind = "linnetlead-distribution-1";
+constexpr std::size_t kPartBytes = 256 * 1024;
 
 std::size_t size_of(const Record& record) {
     std::size_t size = 64 + record.reason.size();
@@ -21,15 +21,15 @@
 
 }  // namespace
 
-const Record* History::at(LogIndex number) const {
-    if (number < first_index() || number > last_index_) return nullptr;
-    return &records_[number - first_index()];
+const Record* History::at(LogIndex index) const {
+    if (index < first_index() || index > last_index_) return nullptr;
+    return &records_[index - first_index()];
 }
 
-std::optional<std::uint64_t> History::term_of(LogIndex number) const {
-    if (const Record* record = at(number)) return record->term;
-    if (number == applied_index_) return applied_term_;
-    if (number == last_index_) return last_term_;
+std::optional<std::uint64_t> History::term_of(LogIndex index) const {
+    if (const Record* record = at(index)) return record->term;
+    if (index == applied_index_) return applied_term_;
+    if (index == last_index_) return last_term_;
     return std::nullopt;
 }
 
@@ -44,7 +44,7 @@
 
 void History::index_pending_keys(const Record& record) {
     for (std::size_t i = 0; i < record.change.edits.size(); ++i) {
-        // The key that stands there may be of an older record, which goes first.
+        // The present map key may point into an older record, which is dropped before this one.
         pending_keys_.erase(record.change.edits[i].key);
         pending_keys_.emplace(record.change.edits[i].key, EditPosition{record.index, i});
     }
@@ -58,7 +58,7 @@
 History::AddResult History::add(Record record) {
     if (record.index <= last_index_) {
         const auto term = term_of(record.index);
-        // Older ones than are held were the same once.
+        // The term of a record that is no longer retained is unknown; it was compared when it was added.
         if (term && *term != record.term) return AddResult::kConflict;
         return AddResult::kAlreadyKnown;
     }
@@ -79,13 +79,14 @@
             break;
         case RecordKind::kActivate:
             scheduled_through_ = std::max(scheduled_through_, std::min(added.through_index, added.index - 1));
-            // A snapshot may hold settlements behind its number: what was not decided stopped that.
+            // A snapshot may include activations after its last included index, which stops before the first
+            // undecided change.
             newest_activation_ = std::max(newest_activation_, added.index);
             newest_activation_time_ = std::max(newest_activation_time_, added.activation_time);
-            if (added.index > activation_index_) waiting_activations_.push_back(added.index);
+            if (added.index > activation_index_) pending_activations_.push_back(added.index);
             break;
         case RecordKind::kWithdraw: {
-            // What is settled stays so.
+            // A change that an activation covers can no longer be withdrawn.
             const Record* change =
                 added.through_index > applied_index_ && added.through_index > scheduled_through_
                     ? at(added.through_index)
@@ -102,11 +103,11 @@
     return AddResult::kAdded;
 }
 
-void History::for_each_pending(bool unsettled, const std::function<void(const Record&)>& act) const {
-    const LogIndex behind = unsettled ? std::max(applied_index_, scheduled_through_) : applied_index_;
-    for (LogIndex number = behind + 1; number <= last_index_; ++number) {
-        const Record& record = records_[number - first_index()];
-        if (record.kind == RecordKind::kChange && !is_withdrawn(number)) act(record);
+void History::for_each_pending(bool only_unscheduled, const std::function<void(const Record&)>& act) const {
+    const LogIndex after = only_unscheduled ? std::max(applied_index_, scheduled_through_) : applied_index_;
+    for (LogIndex index = after + 1; index <= last_index_; ++index) {
+        const Record& record = records_[index - first_index()];
+        if (record.kind == RecordKind::kChange && !is_withdrawn(index)) act(record);
     }
 }
 
@@ -116,49 +117,49 @@
     return &records_[found->second.index - first_index()].change.edits[found->second.edit];
 }
 
-LogIndex History::pending_revision(std::string_view key) const {
+LogIndex History::newest_pending_revision(std::string_view key) const {
     const auto found = pending_keys_.find(key);
     return found == pending_keys_.end() ? 0 : found->second.index;
 }
 
 std::optional<Timestamp> History::next_activation_time() const {
-    if (waiting_activations_.empty()) return std::nullopt;
-    return records_[waiting_activations_.front() - first_index()].activation_time;
+    if (pending_activations_.empty()) return std::nullopt;
+    return records_[pending_activations_.front() - first_index()].activation_time;
 }
 
 bool History::activate_next(Timestamp now, const std::function<void(const Record&)>& act) {
-    const auto instant = next_activation_time();
-    if (!instant || *instant > now) return false;
-    const Record& settlement = records_[waiting_activations_.front() - first_index()];
-    const LogIndex upto = std::min(settlement.through_index, settlement.index - 1);
-    for (LogIndex number = applied_index_ + 1; number <= upto; ++number) {
-        const Record& record = records_[number - first_index()];
-        if (record.kind != RecordKind::kChange || is_withdrawn(number) || number <= revision_) continue;
+    const auto activation_time = next_activation_time();
+    if (!activation_time || *activation_time > now) return false;
+    const Record& activation = records_[pending_activations_.front() - first_index()];
+    const LogIndex through = std::min(activation.through_index, activation.index - 1);
+    for (LogIndex index = applied_index_ + 1; index <= through; ++index) {
+        const Record& record = records_[index - first_index()];
+        if (record.kind != RecordKind::kChange || is_withdrawn(index) || index <= revision_) continue;
         for (const Edit& edit : record.change.edits) {
             std::optional<std::string_view> value;
             if (edit.value) value = *edit.value;
-            store_.set(edit.key, value, number);
+            store_.set(edit.key, value, index);
             const auto found = pending_keys_.find(edit.key);
-            if (found != pending_keys_.end() && found->second.index <= number) pending_keys_.erase(found);
+            if (found != pending_keys_.end() && found->second.index <= index) pending_keys_.erase(found);
         }
         --pending_change_count_;
-        revision_ = number;
+        revision_ = index;
         act(record);
     }
-    activation_index_ = settlement.index;
-    activated_at_ = settlement.activation_time;
-    waiting_activations_.pop_front();
+    activation_index_ = activation.index;
+    activated_at_ = activation.activation_time;
+    pending_activations_.pop_front();
     advance_applied_index();
     return true;
 }
 
 void History::advance_applied_index() {
-    const LogIndex settlement = waiting_activations_.empty() ? last_index_ + 1 : waiting_activations_.front();
-    while (applied_index_ < last_index_ && applied_index_ + 1 < settlement) {
+    const LogIndex activation = pending_activations_.empty() ? last_index_ + 1 : pending_activations_.front();
+    while (applied_index_ < last_index_ && applied_index_ + 1 < activation) {
         const Record& next = records_[applied_index_ + 1 - first_index()];
-        const bool undecided =
+        const bool is_undecided =
             next.kind == RecordKind::kChange && next.index > revision_ && !is_withdrawn(next.index);
-        if (undecided) break;
+        if (is_undecided) break;
         applied_index_ = next.index;
         applied_term_ = next.term;
         withdrawn_.erase(applied_index_);
@@ -176,64 +177,66 @@
 }
 
 History::SnapshotResult History::install_snapshot(const SnapshotChunk& last,
-                                                  const std::vector<std::string>& packed) {
-    const bool whole = last.since_revision == 0;
-    if (!whole && (last.since_revision > applied_index_ || last.last_included_index < applied_index_))
+                                                  const std::vector<std::string>& compressed) {
+    const bool is_full = last.since_revision == 0;
+    if (!is_full && (last.since_revision > applied_index_ || last.last_included_index < applied_index_))
         return SnapshotResult::kNotContiguous;
-    // First what would come of it: a key may have come twice, if it changed meanwhile; the last counts.
+    // Computes the resulting hash first. A key that changed while the snapshot was sent may occur twice; the
+    // last occurrence counts.
     std::vector<std::uint64_t> keys;
     std::vector<SnapshotChunk::Entry> entries;
-    for (const std::string& each : packed) {
+    for (const std::string& chunk_entries : compressed) {
         entries.clear();
-        if (!decompress_entries(each, entries)) return SnapshotResult::kHashMismatch;
+        if (!decompress_entries(chunk_entries, entries)) return SnapshotResult::kHashMismatch;
         for (const auto& entry : entries) keys.push_back(ResourceStore::entry_hash(entry.key, {}));
     }
     std::sort(keys.begin(), keys.end());
-    std::set<std::uint64_t> twice;
+    std::set<std::uint64_t> repeated;
     for (std::size_t i = 1; i < keys.size(); ++i) {
-        if (keys[i] == keys[i - 1]) twice.insert(keys[i]);
+        if (keys[i] == keys[i - 1]) repeated.insert(keys[i]);
     }
     keys = {};
-    std::uint64_t hash = whole ? 0 : store_.hash();
-    std::map<std::string, std::uint64_t> parts;
-    for (const std::string& each : packed) {
+    std::uint64_t hash = is_full ? 0 : store_.hash();
+    std::map<std::string, std::uint64_t> entry_hashes;
+    for (const std::string& chunk_entries : compressed) {
         entries.clear();
-        if (!decompress_entries(each, entries)) return SnapshotResult::kHashMismatch;
+        if (!decompress_entries(chunk_entries, entries)) return SnapshotResult::kHashMismatch;
         for (const auto& entry : entries) {
-            const std::uint64_t part = entry.value ? ResourceStore::entry_hash(entry.key, *entry.value) : 0;
-            const bool may_come_twice = twice.count(ResourceStore::entry_hash(entry.key, {})) != 0;
-            const auto before = may_come_twice ? parts.find(entry.key) : parts.end();
-            if (before != parts.end()) {
-                hash += part - before->second;
-                before->second = part;
+            const std::uint64_t entry_hash =
+                entry.value ? ResourceStore::entry_hash(entry.key, *entry.value) : 0;
+            const bool may_repeat = repeated.count(ResourceStore::entry_hash(entry.key, {})) != 0;
+            const auto earlier = may_repeat ? entry_hashes.find(entry.key) : entry_hashes.end();
+            if (earlier != entry_hashes.end()) {
+                hash += entry_hash - earlier->second;
+                earlier->second = entry_hash;
                 continue;
             }
-            if (may_come_twice) parts.emplace(entry.key, part);
-            const auto had = whole ? std::nullopt : store_.find(entry.key);
-            hash += part - (had ? ResourceStore::entry_hash(entry.key, *had) : 0);
+            if (may_repeat) entry_hashes.emplace(entry.key, entry_hash);
+            const auto old_value = is_full ? std::nullopt : store_.find(entry.key);
+            hash += entry_hash - (old_value ? ResourceStore::entry_hash(entry.key, *old_value) : 0);
         }
     }
     if (hash != last.hash) return SnapshotResult::kHashMismatch;
-    if (whole) store_.clear();
-    for (const std::string& each : packed) {
+    if (is_full) store_.clear();
+    for (const std::string& chunk_entries : compressed) {
         entries.clear();
-        decompress_entries(each, entries);
+        decompress_entries(chunk_entries, entries);
         for (const auto& entry : entries) {
             std::optional<std::string_view> value;
             if (entry.value) value = *entry.value;
             store_.set(entry.key, value, entry.revision);
         }
     }
-    if (whole) store_.forget_tombstones(last.tombstones_since);
-    // Records go on behind it where they are of the same history.
-    std::deque<Record> rest;
-    if (!whole && last_index_ > last.last_included_index &&
+    if (is_full) store_.forget_tombstones(last.tombstones_since);
+    // Later records stay if they continue the same history.
+    std::deque<Record> later_records;
+    if (!is_full && last_index_ > last.last_included_index &&
         term_of(last.last_included_index) == last.last_included_term) {
-        for (LogIndex number = last.last_included_index + 1; number <= last_index_; ++number)
-            rest.push_back(std::move(records_[number - first_index()]));
+        for (LogIndex index = last.last_included_index + 1; index <= last_index_; ++index)
+            later_records.push_back(std::move(records_[index - first_index()]));
     }
-    rebase_on(last, std::move(rest));
-    // No bytes that were checked above can end here; if they do, nothing of it is kept.
+    rebase_on(last, std::move(later_records));
+    // The hash was checked above, so this does not happen; if it does, the history is cleared.
     if (store_.hash() != last.hash) {
         clear();
         return SnapshotResult::kCorrupted;
@@ -249,11 +252,11 @@
     return SnapshotResult::kApplied;
 }
 
-void History::rebase_on(const SnapshotChunk& last, std::deque<Record> rest) {
+void History::rebase_on(const SnapshotChunk& last, std::deque<Record> later_records) {
     pending_keys_.clear();
     records_.clear();
     cumulative_bytes_.clear();
-    waiting_activations_.clear();
+    pending_activations_.clear();
     withdrawn_.clear();
     pending_change_count_ = 0;
     applied_index_ = last_index_ = scheduled_through_ = last.last_included_index;
@@ -261,83 +264,85 @@
     activation_index_ = newest_activation_ = last.activation_index;
     revision_ = last.revision;
     activated_at_ = newest_activation_time_ = last.activated_at;
-    for (Record& record : rest) add(std::move(record));
+    for (Record& record : later_records) add(std::move(record));
 }
 
 void History::clear() { *this = History(retention_); }
 
-bool History::save_part(SaveCursor& saving, bool with_records, const std::function<std::string()>& extra,
+bool History::save_part(SaveCursor& cursor, bool with_records, const std::function<std::string()>& extra,
                         std::string& out) const {
-    if (saving.parts == 0) saving.tombstones_since = store_.tombstones_since();
-    if (saving.tombstones_since != store_.tombstones_since()) {
-        saving = SaveCursor();
-        saving.tombstones_since = store_.tombstones_since();
+    if (cursor.parts == 0) cursor.tombstones_since = store_.tombstones_since();
+    if (cursor.tombstones_since != store_.tombstones_since()) {
+        cursor = SaveCursor();
+        cursor.tombstones_since = store_.tombstones_since();
         out.clear();
     }
     std::string part;
     const auto flush = [&] {
         std::string text;
-        wire_form::put_number(text, saving.parts++);
+        wire_form::put_number(text, cursor.parts++);
         text += part;
         part.clear();
-        const std::string sealed = storage::encode_checksummed(kSealedKind, text);
-        for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(sealed.size() >> shift));
-        out += sealed;
+        const std::string encoded = storage::encode_checksummed(kFileKind, text);
+        for (int shift = 24; shift >= 0; shift -= 8)
+            out.push_back(static_cast<char>(encoded.size() >> shift));
+        out += encoded;
     };
-    saving.store_position =
-        store_.read_slice(saving.store_position, 0, kPartSize,
-                          [&](std::string_view key, std::optional<std::string_view> value, LogIndex number) {
+    cursor.store_position =
+        store_.read_slice(cursor.store_position, 0, kPartBytes,
+                          [&](std::string_view key, std::optional<std::string_view> value, LogIndex index) {
                               part.push_back('e');
                               wire_form::put_text(part, key);
                               wire_form::put_number(part, value ? value->size() + 1 : 0);
                               if (value) part += *value;
-                              wire_form::put_number(part, number);
+                              wire_form::put_number(part, index);
                           });
-    if (saving.store_position != 0) {
+    if (cursor.store_position != 0) {
         flush();
         return true;
     }
-    // The state is that of now: of a key that stands there twice, the later counts.
+    // The header describes the state as of now. A key that changed during the save occurs twice; the later
+    // one counts.
     part.push_back('b');
-    for (const std::uint64_t number :
+    for (const std::uint64_t value :
          {applied_index_, applied_term_, activation_index_, revision_,
           static_cast<std::uint64_t>(activated_at_.count()), store_.tombstones_since(), store_.hash()})
-        wire_form::put_number(part, number);
+        wire_form::put_number(part, value);
     wire_form::put_text(part, extra ? extra() : std::string());
-    for (LogIndex number = applied_index_ + 1; with_records && number <= last_index_; ++number) {
-        const Record& record = records_[number - first_index()];
+    for (LogIndex index = applied_index_ + 1; with_records && index <= last_index_; ++index) {
+        const Record& record = records_[index - first_index()];
         part.push_back('r');
         wire_form::put_number(part, record.term);
         wire_form::put_text(part, encode_record_body(record));
-        if (part.size() >= kPartSize) flush();
+        if (part.size() >= kPartBytes) flush();
     }
-    part.push_back('z');  // nothing is cut off
+    part.push_back('z');  // end mark, against truncation
     flush();
     return false;
 }
 
 std::string History::save(bool with_records, const std::string& extra) const {
     std::string out;
-    SaveCursor saving;
+    SaveCursor cursor;
     while (save_part(
-        saving, with_records, [&extra] { return extra; }, out))
+        cursor, with_records, [&extra] { return extra; }, out))
         continue;
     return out;
 }
 
 bool History::restore(std::string_view saved, std::string& extra) {
-    History read(retention_);
+    History restored(retention_);
     std::uint64_t parts = 0, hash = 0;
-    bool based = false, ended = false;
-    const auto take = [&](std::string_view text) {
+    bool has_header = false, has_end_mark = false;
+    const auto read_part = [&](std::string_view text) {
         std::uint64_t number = 0;
-        if (!wire_form::take_number(text, number) || number != parts++ || ended) return false;
+        if (!wire_form::take_number(text, number) || number != parts++ || has_end_mark) return false;
         while (!text.empty()) {
             const char kind = text.front();
             text.remove_prefix(1);
             std::string_view key, value;
             std::uint64_t size = 0;
-            if (kind == 'e' && !based) {
+            if (kind == 'e' && !has_header) {
                 if (!wire_form::take_text(text, key, kMaxKeyBytes) || !wire_form::take_number(text, size) ||
                     (size > 0 && (size - 1 > kMaxValueBytes || size - 1 > text.size())))
                     return false;
@@ -346,35 +351,35 @@
                     text.remove_prefix(size - 1);
                 }
                 if (!wire_form::take_number(text, number)) return false;
-                read.store_.set(key, size > 0 ? std::optional(value) : std::nullopt, number);
-            } else if (kind == 'b' && !based) {
-                based = true;
-                std::uint64_t instant = 0, known_since = 0;
+                restored.store_.set(key, size > 0 ? std::optional(value) : std::nullopt, number);
+            } else if (kind == 'b' && !has_header) {
+                has_header = true;
+                std::uint64_t activated_at = 0, tombstones_since = 0;
                 for (std::uint64_t* field :
-                     {&read.applied_index_, &read.applied_term_, &read.activation_index_, &read.revision_,
-                      &instant, &known_since, &hash}) {
+                     {&restored.applied_index_, &restored.applied_term_, &restored.activation_index_,
+                      &restored.revision_, &activated_at, &tombstones_since, &hash}) {
                     if (!wire_form::take_number(text, *field)) return false;
                 }
-                std::string_view held;
-                if (!wire_form::take_text(text, held, storage::kMaxDecompressedBytes)) return false;
-                extra = held;
-                read.activated_at_ = read.newest_activation_time_ =
-                    Timestamp(static_cast<std::int64_t>(instant));
-                read.store_.forget_tombstones(known_since);
-                read.last_index_ = read.scheduled_through_ = read.applied_index_;
-                read.last_term_ = read.applied_term_;
-                read.newest_activation_ = read.activation_index_;
-            } else if (kind == 'r' && based) {
+                std::string_view caller_data;
+                if (!wire_form::take_text(text, caller_data, storage::kMaxDecompressedBytes)) return false;
+                extra = caller_data;
+                restored.activated_at_ = restored.newest_activation_time_ =
+                    Timestamp(static_cast<std::int64_t>(activated_at));
+                restored.store_.forget_tombstones(tombstones_since);
+                restored.last_index_ = restored.scheduled_through_ = restored.applied_index_;
+                restored.last_term_ = restored.applied_term_;
+                restored.newest_activation_ = restored.activation_index_;
+            } else if (kind == 'r' && has_header) {
                 std::uint64_t term = 0;
                 if (!wire_form::take_number(text, term) || !wire_form::take_text(text, value, kMaxFrameBytes))
                     return false;
                 auto record = decode_record_body(value);
                 if (!record) return false;
-                record->index = read.last_index_ + 1;
+                record->index = restored.last_index_ + 1;
                 record->term = term;
-                if (read.add(std::move(*record)) != AddResult::kAdded) return false;
+                if (restored.add(std::move(*record)) != AddResult::kAdded) return false;
             } else if (kind == 'z') {
-                ended = true;
+                has_end_mark = true;
                 return text.empty();
             } else {
                 return false;
@@ -388,12 +393,12 @@
         for (int i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(saved[i]);
         saved.remove_prefix(4);
         if (size > saved.size()) return false;
-        const auto text = storage::decode_checksummed(kSealedKind, saved.substr(0, size));
+        const auto text = storage::decode_checksummed(kFileKind, saved.substr(0, size));
         saved.remove_prefix(size);
-        if (!text || !take(*text)) return false;
+        if (!text || !read_part(*text)) return false;
     }
-    if (!ended || !based || read.store_.hash() != hash) return false;
-    *this = std::move(read);
+    if (!has_end_mark || !has_header || restored.store_.hash() != hash) return false;
+    *this = std::move(restored);
     return true;
 }
 
--- a/src/cluster/distribution/join_limiter.cpp
+++ b/src/cluster/distribution/join_limiter.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr std::uint64_t kSeedMask = 0x66616e6f7574ULL;
-constexpr Duration kBusyLasts = 60s;
-constexpr std::int64_t kMinRetryMs = 250;
+constexpr Duration kBusyDuration = 60s;
+constexpr std::int64_t kMinRetryDelayMs = 250;
 constexpr double kMinSpreadMs = 500, kMaxSpreadMs = 30000;
 
 }  // namespace
@@ -18,7 +18,7 @@
 JoinLimiter::JoinLimiter(double joins_per_s, std::uint64_t seed)
     : joins_per_s_(joins_per_s), random_(seed ^ kSeedMask), tokens_(burst()) {}
 
-// A quarter of a second's.
+// The joins of a quarter of a second.
 double JoinLimiter::burst() const { return std::max(1.0, joins_per_s_ / 4); }
 
 void JoinLimiter::refill(Timestamp now) {
@@ -32,7 +32,7 @@
 
 void JoinLimiter::on_joined(Timestamp now) {
     tokens_ -= 1;
-    if (tokens_ < joins_per_s_ / 8) busy_until_ = now + kBusyLasts;
+    if (tokens_ < joins_per_s_ / 8) busy_until_ = now + kBusyDuration;
 }
 
 std::int64_t JoinLimiter::on_rejected(Timestamp now) {
@@ -40,9 +40,9 @@
     rejected_ = std::max(0.0, rejected_ - elapsed * joins_per_s_) + 1;
     tokens_ = std::min(burst(), tokens_ + elapsed * joins_per_s_);
     refilled_at_ = now;
-    busy_until_ = now + kBusyLasts;
+    busy_until_ = now + kBusyDuration;
     const double spread_ms = std::clamp(1000 * rejected_ / joins_per_s_, kMinSpreadMs, kMaxSpreadMs);
-    return std::uniform_int_distribution<std::int64_t>(kMinRetryMs,
+    return std::uniform_int_distribution<std::int64_t>(kMinRetryDelayMs,
                                                        static_cast<std::int64_t>(spread_ms))(random_);
 }
 
--- a/src/cluster/distribution/join_limiter.h
+++ b/src/cluster/distribution/join_limiter.h
@@ -1,7 +1,7 @@
-// How fast followers may join a relay, and how long those that may not are told to wait. Against the rush
-// when another relay is gone: hundreds of followers that are taken at once would each need what it lacks at
-// once, and lose their leases while they wait. Who is rejected comes back over the time that taking all of
-// them needs. No I/O and no clock.
+// Token bucket for followers that join a relay, with a retry delay for rejected ones; used by FanOut. When
+// another relay fails, hundreds of its followers connect at once. If all were admitted together, each would
+// need its missing records at the same time, and their leases would expire while they wait. Retries of
+// rejected followers are spread over the time that admitting all of them takes. No I/O and no clock.
 #pragma once
 
 #include <random>
@@ -17,9 +17,9 @@
     void refill(Timestamp now);
     bool has_capacity() const { return tokens_ >= 1; }
     void on_joined(Timestamp now);
-    // Milliseconds after which the rejected follower is to come again.
+    // Returns the delay in milliseconds after which the rejected follower is to retry.
     std::int64_t on_rejected(Timestamp now);
-    // Many came of late: capacity matters more than evenness between relays.
+    // Many followers joined recently: admitting them has priority over balancing followers between relays.
     bool is_busy(Timestamp now) const { return now < busy_until_; }
 
 private:
@@ -28,7 +28,7 @@
     double joins_per_s_;
     std::mt19937_64 random_;
     double tokens_;
-    double rejected_ = 0;  // of late: falls as fast as they could have joined
+    double rejected_ = 0;  // recently rejected followers; decays at the join rate
     Timestamp refilled_at_{}, busy_until_{};
 };
 
--- a/src/cluster/distribution/log_record.cpp
+++ b/src/cluster/distribution/log_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxReason = 4096;
+constexpr std::size_t kMaxReasonBytes = 4096;
 
 }  // namespace
 
@@ -27,7 +27,7 @@
             break;
         case RecordKind::kWithdraw:
             form = json::array({static_cast<unsigned>(record.kind), record.through_index,
-                                record.reason.substr(0, kMaxReason)});
+                                record.reason.substr(0, kMaxReasonBytes)});
             break;
     }
     return agreement::write_cbor(form);
@@ -53,7 +53,7 @@
         case static_cast<unsigned>(RecordKind::kWithdraw):
             record.kind = RecordKind::kWithdraw;
             record.through_index = fields.number();
-            record.reason = fields.text(kMaxReason);
+            record.reason = fields.text(kMaxReasonBytes);
             break;
         default:
             return std::nullopt;
--- a/src/cluster/distribution/log_record.h
+++ b/src/cluster/distribution/log_record.h
@@ -1,7 +1,7 @@
-// The records of the log that the relays' quorum orders, and how they stand in frames and on disk. A change
-// is not active by being in the log: a later record gives the time from which it, and all changes
-// before it that are not withdrawn, are active everywhere. What is withdrawn never was active; both have
-// numbers of their own, so that one history tells all.
+// The records of the replicated configuration log, and their encoding in frames and on disk. A committed
+// change is not active yet: a later activation record gives the time from which it, and all earlier changes
+// that are not withdrawn, are active everywhere. A withdrawn change was never active. Activations and
+// withdrawals are log records themselves, so the log is the complete history.
 #pragma once
 
 #include "cluster/distribution/change.h"
@@ -10,11 +10,10 @@
 namespace linnetlead::distribution {
 
 enum class RecordKind : std::uint8_t {
-    kTermStart,  // a leader's term begins
+    kTermStart,  // empty record at the start of a leader's term
     kChange,
-    kActivate,  // all changes up to `through_index` that are neither active nor withdrawn are
-                // active from `activation_time` on
-    kWithdraw,  // the change `through_index` is withdrawn for good
+    kActivate,  // activates all pending changes up to `through_index` at `activation_time`
+    kWithdraw,  // withdraws the change `through_index` permanently
 };
 
 struct Record {
@@ -23,15 +22,15 @@
     RecordKind kind = RecordKind::kTermStart;
     Change change;
     LogIndex through_index = 0;
-    Timestamp activation_time{};  // Unix time; later than any settled before
-    std::string reason;           // of a withdrawal, with names
+    Timestamp activation_time{};  // Unix time; later than that of any earlier activation
+    std::string reason;           // of a withdrawal; names some gateways
 };
 
-// Without number and term, which the log itself has.
+// The encoding omits index and term, which the log entry has itself.
 std::string encode_record_body(const Record& record);
 std::optional<Record> decode_record_body(std::string_view body);
 
-// What the leader of the voting relays can prove about the past; see there.
+// Proof by the leading relay of what was committed at a time; followers renew their leases by it.
 using Heartbeat = raft::LeadershipHeartbeat;
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/voter_reports.cpp
+++ b/src/cluster/distribution/voter_reports.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr Duration kReportLifetime = 6s;  // a voter that is silent for longer counts for nothing
+constexpr Duration kReportLifetime = 6s;  // an older report is ignored
 
 }  // namespace
 
@@ -20,16 +20,16 @@
 AcknowledgementCounts VoterReports::combined(Timestamp now, const AcknowledgementCounts& own) const {
     AcknowledgementCounts counts = own;
     for (const auto& [voter, report] : reports_) {
-        // Numbered from the end, where no session's number is.
+        // Source numbers count down from the maximum, so that they differ from session numbers.
         if (now - report.received <= kReportLifetime) counts.update(~std::uint64_t{0} - voter, report.ack);
     }
     return counts;
 }
 
-std::size_t VoterReports::voters_heard_in(std::uint64_t led_term) const {
+std::size_t VoterReports::voters_reported_in(std::uint64_t led_term) const {
     return static_cast<std::size_t>(
         std::count_if(reports_.begin(), reports_.end(),
-                      [led_term](const auto& each) { return each.second.led_term == led_term; }));
+                      [led_term](const auto& report) { return report.second.led_term == led_term; }));
 }
 
 bool VoterReports::may_be_due(Timestamp now, std::pair<int, std::uint64_t> leader_and_term,
@@ -39,13 +39,13 @@
 
 bool VoterReports::is_due(Timestamp now, std::pair<int, std::uint64_t> leader_and_term,
                           const std::string& ack, Duration max_interval) const {
-    return sent_to_ != leader_and_term || ack != sent_ || now - sent_at_ >= max_interval;
+    return sent_to_ != leader_and_term || ack != sent_report_ || now - sent_at_ >= max_interval;
 }
 
 void VoterReports::on_sent(Timestamp now, std::pair<int, std::uint64_t> leader_and_term, std::string ack) {
     sent_to_ = leader_and_term;
     sent_at_ = now;
-    sent_ = std::move(ack);
+    sent_report_ = std::move(ack);
 }
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/voter_reports.h
+++ b/src/cluster/distribution/voter_reports.h
@@ -1,5 +1,6 @@
-// What voters report to the one that leads: the acknowledgements of the followers behind each. No I/O and no
-// clock.
+// Acknowledgement counts that voting relays report to the leader, each for its downstream gateways. Relay
+// uses one object for both sides: the reports received while it leads, and the timing of its own reports
+// otherwise. No I/O and no clock.
 #pragma once
 
 #include <map>
@@ -10,13 +11,13 @@
 
 class VoterReports {
 public:
-    // At the leader. `led_term`: the term that it led when the report came; 0: it did not lead.
+    // Leader side. `led_term` is the term in which this relay led when the report arrived, or 0.
     void on_report(Timestamp now, int relay, std::uint64_t led_term, const Ack& ack);
-    // Of each voter that has spoken of late, in addition to `own`.
+    // `own` plus the recent report of each voter.
     AcknowledgementCounts combined(Timestamp now, const AcknowledgementCounts& own) const;
-    std::size_t voters_heard_in(std::uint64_t led_term) const;
+    std::size_t voters_reported_in(std::uint64_t led_term) const;
 
-    // At the others. True: `ack` is to be sent to `leader` now.
+    // Reporting side: whether to send `ack` to the leader now. may_be_due() is the cheaper check beforehand.
     bool is_due(Timestamp now, std::pair<int, std::uint64_t> leader_and_term, const std::string& ack,
                 Duration max_interval) const;
     bool may_be_due(Timestamp now, std::pair<int, std::uint64_t> leader_and_term, Duration interval) const;
@@ -31,7 +32,7 @@
     };
     std::map<std::uint64_t, Report> reports_;  // by the voter's relay number
     std::optional<std::pair<int, std::uint64_t>> sent_to_;
-    std::string sent_;
+    std::string sent_report_;
     Timestamp sent_at_{};
 };
 
--- a/src/cluster/distribution/voting_log.cpp
+++ b/src/cluster/distribution/voting_log.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxLogBytes = 32 * 1024 * 1024;  // committed; beyond, it is compacted
+constexpr std::size_t kMaxLogBytes = 32 * 1024 * 1024;  // committed bytes that start a compaction
 
 }  // namespace
 
@@ -38,23 +38,24 @@
     return found == voters_.end() ? -1 : static_cast<int>(found - voters_.begin());
 }
 
-void VotingLog::break_down(const std::string& reason) {
+void VotingLog::mark_broken(const std::string& reason) {
     callbacks_.on_event(EventKind::kFault, reason);
     is_broken_ = true;
 }
 
 void VotingLog::install(const LogSnapshot& snapshot) {
-    saving_.reset();
+    save_cursor_.reset();
     std::string ids;
-    // It was checked where it was written and on its way, so what was on this disk cannot be used.
+    // Snapshots are checked when written and on receipt, so a failure here means that the data on this disk
+    // is unusable.
     if (!history_.restore(snapshot.state, ids) || history_.applied_index() != snapshot.index ||
         !validator_.restore(ids))
-        break_down("the state at " + std::to_string(snapshot.index) + " cannot be read");
+        mark_broken("the state at " + std::to_string(snapshot.index) + " cannot be read");
 }
 
-void VotingLog::pump(Timestamp now) {
-    if (is_pumping_ || is_broken_) return;
-    is_pumping_ = true;
+void VotingLog::process_ready(Timestamp now) {
+    if (is_processing_ || is_broken_) return;
+    is_processing_ = true;
     while (!is_persisting_) {
         raft::Ready next = raft_->ready();
         if (next.empty()) break;
@@ -66,13 +67,13 @@
             on_ready_written(now);
         }
     }
-    is_pumping_ = false;
+    is_processing_ = false;
 }
 
 void VotingLog::on_persisted(Timestamp now) {
     if (!is_persisting_) return;
     on_ready_written(now);
-    pump(now);
+    process_ready(now);
 }
 
 void VotingLog::on_ready_written(Timestamp now) {
@@ -106,7 +107,8 @@
     const auto result = history_.add(*record);
     if (result == History::AddResult::kAlreadyKnown) return;
     if (result != History::AddResult::kAdded)
-        return break_down("record " + std::to_string(entry.index) + " does not go on from what counted");
+        return mark_broken("record " + std::to_string(entry.index) +
+                           " does not continue the committed history");
     log_bytes_ += entry.body.size();
     listener_.on_committed(*record);
 }
@@ -117,20 +119,20 @@
 
 void VotingLog::compact() {
     if (is_broken_) return;
-    if (!saving_) {
+    if (!save_cursor_) {
         const LogIndex first = raft_->first_index();
         if (history_.applied_index() < first) return;
         if (history_.applied_index() - first + 1 <= settings_.compact_after_entries &&
             log_bytes_ <= kMaxLogBytes)
             return;
-        saving_.emplace();
-        saved_.clear();
+        save_cursor_.emplace();
+        saved_state_.clear();
         log_bytes_ = 0;
     }
     const auto save_ids = [this] { return validator_.save(); };
-    if (history_.save_part(*saving_, false, save_ids, saved_)) return;
-    saving_.reset();
-    raft_->compact({history_.applied_index(), history_.applied_term(), std::exchange(saved_, {})});
+    if (history_.save_part(*save_cursor_, false, save_ids, saved_state_)) return;
+    save_cursor_.reset();
+    raft_->compact({history_.applied_index(), history_.applied_term(), std::exchange(saved_state_, {})});
 }
 
 bool VotingLog::leads() const {
@@ -145,7 +147,7 @@
 
 void VotingLog::on_raft_message(Timestamp now, int relay, std::string_view message) {
     raft_->receive(now, index_of(relay), message);
-    pump(now);
+    process_ready(now);
 }
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/voting_log.h
+++ b/src/cluster/distribution/voting_log.h
@@ -1,6 +1,6 @@
-// The log at a relay that votes: drives its Raft node, has each entry written before what depends on it is
-// sent, applies committed records to the history, and replaces decided entries by a saved state. No I/O and
-// no clock.
+// The log of a voting relay: drives the Raft node, has entries written to disk before the messages that
+// depend on them are sent, applies committed records to the history, and compacts decided entries into a
+// saved state. Relay owns it and implements Listener. No I/O and no clock.
 #pragma once
 
 #include "cluster/distribution/change_validator.h"
@@ -13,33 +13,34 @@
     class Listener {
     public:
         virtual ~Listener() = default;
-        // In the log's order, each once.
+        // Called once per record, in log order.
         virtual void on_committed(const Record& record) = 0;
-        // Records were added; or the history is another.
+        // Records were added, or the history was replaced by a snapshot.
         virtual void on_history_extended(Timestamp now) = 0;
         virtual void on_history_replaced(Timestamp now) = 0;
-        // After each batch that Raft gave out: this relay may lead from now on, or no more.
+        // Called after each processed Ready; leadership of this relay may have begun or ended.
         virtual void on_role_may_have_changed(Timestamp now) = 0;
         virtual void send_raft_message(int relay, const std::string& message) = 0;
     };
-    // `validator` remembers change ids; what it saves travels with the state.
+    // The change ids that `validator` remembers are saved with the state.
     VotingLog(const Relay::Settings& settings, const Relay::Callbacks& callbacks, ChangeValidator& validator,
               Listener& listener);
-    // Once, before all else.
+    // Called once, before any other function.
     void start(Relay::PersistentState state);
 
-    // Sends and writes what Raft has ready, until it waits for the disk.
-    void pump(Timestamp now);
+    // Sends and writes what the Raft node has ready, until a write is outstanding.
+    void process_ready(Timestamp now);
     void on_persisted(Timestamp now);
-    // Activates what is due in the history.
+    // Applies the activations that are due.
     void activate_due(Timestamp now);
-    // One step of writing the state that takes the place of decided entries, where there are many.
+    // Performs one step of saving the state, if the log has enough decided entries; after the last step, the
+    // saved state replaces them.
     void compact();
 
     bool leads() const;                 // and has committed a record of its own term
-    std::optional<int> leader() const;  // by the relay's number
-    // Committed bytes could not be read or do not follow: the relay takes no further part, since what it
-    // would send could contradict what others hold. Shows as "fault" in its state.
+    std::optional<int> leader() const;  // relay number
+    // A committed record or snapshot was damaged or not contiguous. The relay stops taking part, since it
+    // could send records that contradict those of others. The state shows this as "fault".
     bool is_broken() const { return is_broken_; }
     bool is_voter(int relay) const { return index_of(relay) >= 0; }
     std::size_t voters() const { return voters_.size(); }
@@ -53,20 +54,20 @@
     void install(const LogSnapshot& snapshot);
     void on_ready_written(Timestamp now);
     void apply(const LogEntry& entry);
-    void break_down(const std::string& reason);
+    void mark_broken(const std::string& reason);
 
     const Relay::Settings& settings_;
     const Relay::Callbacks& callbacks_;
     ChangeValidator& validator_;
     Listener& listener_;
-    std::vector<int> voters_;  // relay numbers, by their place among the voters
+    std::vector<int> voters_;  // relay numbers, by Raft node index
     History history_;
     std::unique_ptr<RaftNode> raft_;
-    raft::Ready ready_;  // on its way to the disk
-    bool is_persisting_ = false, is_pumping_ = false, is_broken_ = false;
-    std::optional<History::SaveCursor> saving_;
-    std::string saved_;
-    std::size_t log_bytes_ = 0;  // committed since the log was compacted
+    raft::Ready ready_;  // being written
+    bool is_persisting_ = false, is_processing_ = false, is_broken_ = false;
+    std::optional<History::SaveCursor> save_cursor_;  // set while the state is being saved
+    std::string saved_state_;                         // the parts so far
+    std::size_t log_bytes_ = 0;                       // committed since the last compaction
 };
 
 }  // namespace linnetlead::distribution
