--- a/tests/distribution_digest_test.cpp
+++ b/tests/distribution_digest_test.cpp
@@ -1,5 +1,5 @@
-// That a change of names and shape changed nothing: whole runs of relays and gateways in virtual time against
-// their digests, and frames, records and saved states against bytes on file.
+// Guards against unintended changes of behaviour and formats: compares the digests of whole simulated runs of
+// relays and gateways with known values, and frames, records and saved states with fixture files.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -12,21 +12,21 @@
 
 using namespace distribution;
 
-// A run whose order of sends, whose bytes or whose events differ is a change of behaviour, wanted or not. The
-// digests were taken from the program as it was before its names and shape changed. They cover packed
-// snapshots, so another zstd may change them: then take them anew, from a program without any other change.
+// A digest covers the order of sends, the bytes sent and the event texts of a run, so that a refactoring that
+// changes any of them fails here. It includes compressed snapshots. If another zstd version changes the
+// digests, regenerate them from a program without any other change.
 struct KnownRun {
     std::uint64_t seed;
-    std::size_t usual_followers;  // above, a relay asks followers to go
+    std::size_t target_followers;  // above it, a relay asks followers to leave
     std::uint64_t digest;
 };
 class DistributionDigest : public testing::TestWithParam<KnownRun> {};
 
-TEST_P(DistributionDigest, ASeededRunWithFaultsSendsTheSameBytesAndTellsTheSameEvents) {
-    const auto play = test_support::run_random(GetParam().seed, false, GetParam().usual_followers);
-    EXPECT_EQ(play.problem, "");
-    EXPECT_GT(play.faults, 0U);
-    EXPECT_EQ(play.digest, GetParam().digest);
+TEST_P(DistributionDigest, SeededRunWithFaultsHasTheKnownDigest) {
+    const auto run = test_support::run_random(GetParam().seed, false, GetParam().target_followers);
+    EXPECT_EQ(run.problem, "");
+    EXPECT_GT(run.faults, 0U);
+    EXPECT_EQ(run.digest, GetParam().digest);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DistributionDigest,
@@ -41,29 +41,29 @@
     return text.str();
 }
 
-// A fleet is upgraded a process at a time, so each version has to read what the one before sent, and write
-// what it can read. The fixture has one frame of each type, in the order of the variant, and one record of
-// each kind.
-TEST(DistributionFormats, FramesOfTheFormerVersionAreReadAndWrittenBackByteForByte) {
+// A fleet is upgraded one process at a time, so each version has to read the frames of the previous one, and
+// write frames that it can read. The fixture has one frame of each type, in the order of the variant, and one
+// record of each kind.
+TEST(DistributionFormats, ReadsFramesOfThePreviousVersionAndWritesTheSameBytes) {
     const std::string bytes = read_fixture("distribution_frames.bin");
     ASSERT_EQ(bytes.size(), 716U);
     FrameReader reader;
-    std::string_view left = bytes;
+    std::string_view rest = bytes;
     std::string written;
     for (std::size_t type = 0; type < std::variant_size_v<Frame>; ++type) {
         Frame frame;
         Rejection rejection = Rejection::kNone;
-        ASSERT_EQ(reader.take(left, frame, rejection), FrameReader::State::kFrame) << type;
+        ASSERT_EQ(reader.take(rest, frame, rejection), FrameReader::State::kFrame) << type;
         EXPECT_EQ(frame.index(), type);
         written += write(frame);
     }
-    EXPECT_TRUE(left.empty());
+    EXPECT_TRUE(rest.empty());
     EXPECT_EQ(written, bytes);
 }
 
-// The state that a gateway of the former version left beside it: two keys active, a change withdrawn, one
-// settled for later and one undecided. A restart must go on from it without a snapshot.
-TEST(DistributionFormats, AStateSavedByTheFormerVersionIsRestoredAndSavedByteForByte) {
+// The state that a gateway of the previous version saved: two active keys, one change withdrawn, one
+// scheduled and one undecided. A restarted gateway has to continue from it without a snapshot.
+TEST(DistributionFormats, RestoresAStateOfThePreviousVersionAndSavesTheSameBytes) {
     const std::string bytes = read_fixture("follower_state.bin");
     ASSERT_EQ(bytes.size(), 410U);
     Follower::Settings settings;
