--- a/src/cluster/distribution/fan_out.cpp
+++ b/src/cluster/distribution/fan_out.cpp
@@ -198,8 +198,9 @@
 }
 
 void FanOut::require_full_state(Session session, Downstream& downstream) {
-    callbacks_.on_event(EventKind::kFollower,
-                        downstream.name + " holds what never counted here: it gets the whole state");
+    callbacks_.on_event(
+        EventKind::kFollower,
+        downstream.name + " holds records that are not committed here; it gets the full state");
     downstream.needs_full_state = downstream.wants_snapshot = true;
     downstream.claimed_index = 0;
     // Its acknowledgements so far refer to another history.
