--- a/src/cluster/agreement/activation_decider.cpp
+++ b/src/cluster/agreement/activation_decider.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr int kSmallGroup = 3;  // gateways
+constexpr int kSmallGroupGateways = 3;
 constexpr Duration kSmallGroupPingInterval = 250ms;
 constexpr Duration kPingInterval = 125ms;
 
-// Gossip takes about the logarithm of the group's size in rounds.
+// The number of gossip rounds grows with the logarithm of the group's size.
 constexpr std::chrono::milliseconds kMinActivationDelay = 200ms;
 constexpr std::chrono::milliseconds kActivationDelayPerDoubling = 65ms;
 
@@ -22,7 +22,7 @@
 }  // namespace
 
 Duration ping_interval(int gateways) {
-    return gateways <= kSmallGroup ? kSmallGroupPingInterval : kPingInterval;
+    return gateways <= kSmallGroupGateways ? kSmallGroupPingInterval : kPingInterval;
 }
 
 bool ActivationDecider::is_decider() const {
@@ -35,34 +35,35 @@
 
 Duration ActivationDecider::activation_delay() const {
     if (settings_.activation_delay > Duration{}) return settings_.activation_delay;
-    const double pace = seconds(ping_interval(settings_.gateways)) / seconds(kPingInterval);
+    const double relative_interval = seconds(ping_interval(settings_.gateways)) / seconds(kPingInterval);
     return std::chrono::duration_cast<Duration>(
-        (kMinActivationDelay + kActivationDelayPerDoubling * std::log2(settings_.gateways + 1.0)) * pace);
+        (kMinActivationDelay + kActivationDelayPerDoubling * std::log2(settings_.gateways + 1.0)) *
+        relative_interval);
 }
 
-bool ActivationDecider::all_members_know(Timestamp now) const {
+bool ActivationDecider::all_members_in_sync(Timestamp now) const {
     if (is_alone()) return true;
     if (settings_.transport == Transport::kCounter || holders_.hash() == 0) return false;
     for (int member = 0; member < settings_.gateways; ++member) {
         if (member == settings_.self) continue;
         const bool present = members_.is_present(member);
-        const bool lately_gone =
+        const bool recently_gone =
             !present && members_.incarnation_of(member) > 0 &&
             now - members_.presence_since(member) < settings_.lease + settings_.max_clock_skew;
-        if (lately_gone || (present && !holders_.holds(member))) return false;
+        if (recently_gone || (present && !holders_.holds(member))) return false;
     }
     return true;
 }
 
 std::vector<int> ActivationDecider::members_without_proposal(const ConfigTopics& topics) const {
-    std::vector<int> without;
-    if (topics.candidates().empty()) return without;
+    std::vector<int> lacking;
+    if (topics.candidates().empty()) return lacking;
     for (int member = 0; member < settings_.gateways; ++member) {
-        // Where this gateway itself holds nothing, it knows nothing of the others.
-        const bool known = holders_.hash() != 0 || member == settings_.self;
-        if (known && !holders_.holds(member) && members_.is_present(member)) without.push_back(member);
+        // A gateway that holds no proposal itself has no information about the other members.
+        const bool is_known = holders_.hash() != 0 || member == settings_.self;
+        if (is_known && !holders_.holds(member) && members_.is_present(member)) lacking.push_back(member);
     }
-    return without;
+    return lacking;
 }
 
 Timestamp ActivationDecider::confirm_until(Timestamp at) const {
@@ -71,21 +72,21 @@
 
 Timestamp ActivationDecider::exclusive_from(Timestamp now, Timestamp at) const {
     return at + (is_alone() ? Duration{} : settings_.max_clock_skew) +
-           (all_members_know(now) ? Duration{} : longest_contradiction() - settings_.max_clock_skew);
+           (all_members_in_sync(now) ? Duration{} : longest_contradiction() - settings_.max_clock_skew);
 }
 
 bool ActivationDecider::confirm_activations(Timestamp now, ConfigTopics& topics) const {
-    bool over = false;
+    bool has_ended = false;
     for (auto& [name, topic] : topics.all()) {
         if (topic.decision || topic.confirm_until == Timestamp{}) continue;
         if (now >= topic.confirm_until) {
             topic.confirm_until = {};
-            over = true;
-        } else if (topic.exclusive_from > now && all_members_know(now)) {
+            has_ended = true;
+        } else if (topic.exclusive_from > now && all_members_in_sync(now)) {
             topic.exclusive_from = std::max(now, topic.activated_at + settings_.max_clock_skew);
         }
     }
-    return over;
+    return has_ended;
 }
 
 Duration ActivationDecider::longest_contradiction() const {
--- a/src/cluster/agreement/agreement_codec.cpp
+++ b/src/cluster/agreement/agreement_codec.cpp
@@ -46,19 +46,19 @@
 
 void append_batch(json& out, const std::vector<Chunk>& batch) {
     json list = json::array();
-    for (const Chunk& one : batch) {
-        list.push_back({one.key, one.number, static_cast<unsigned>(one.origin), one.deleted ? 1U : 0U,
-                        static_cast<std::uint64_t>(one.expires_ms), binary(one.bytes)});
+    for (const Chunk& chunk : batch) {
+        list.push_back({chunk.key, chunk.number, static_cast<unsigned>(chunk.origin), chunk.deleted ? 1U : 0U,
+                        static_cast<std::uint64_t>(chunk.expires_ms), binary(chunk.bytes)});
     }
     out.push_back(std::move(list));
 }
 
-void append_body(json& out, const Message& message, std::uint64_t turn) {
+void append_body(json& out, const Message& message, std::uint64_t datagram_number) {
     switch (message.kind) {
         case MessageKind::kPing:
         case MessageKind::kAck:
             out.push_back(message.sequence);
-            append_heartbeat(out, message.heartbeat, turn);
+            append_heartbeat(out, message.heartbeat, datagram_number);
             break;
         case MessageKind::kPingRequest:
         case MessageKind::kIndirectAck:
@@ -90,9 +90,9 @@
 
 bool read_bucket_hashes(const json& datagram, Message& message) {
     if (datagram.size() != kHeaderFields + 1 || !datagram[kHeaderFields].is_array()) return false;
-    for (const json& one : datagram[kHeaderFields]) {
-        if (!one.is_number_unsigned()) return false;
-        message.bucket_hashes.push_back(one.get<std::uint32_t>());
+    for (const json& hash : datagram[kHeaderFields]) {
+        if (!hash.is_number_unsigned()) return false;
+        message.bucket_hashes.push_back(hash.get<std::uint32_t>());
     }
     return message.bucket_hashes.size() == ReplicatedRecords::kBuckets;
 }
@@ -101,12 +101,12 @@
     message.bucket = from.number<std::size_t>(ReplicatedRecords::kBuckets - 1);
     message.key_hash = from.number<std::uint32_t>(kMaxUint32);
     message.has_more = from.flag();
-    from.each([&](ArrayReader& one) {
+    from.each([&](ArrayReader& item) {
         Entry entry;
-        entry.key_hash = one.number<std::uint32_t>(kMaxUint32);
-        entry.stamp.number = one.number<std::uint64_t>();
-        entry.stamp.deleted = one.flag();
-        entry.stamp.tie_break = one.number<std::uint32_t>(kMaxUint32);
+        entry.key_hash = item.number<std::uint32_t>(kMaxUint32);
+        entry.stamp.number = item.number<std::uint64_t>();
+        entry.stamp.deleted = item.flag();
+        entry.stamp.tie_break = item.number<std::uint32_t>(kMaxUint32);
         message.entries.push_back(entry);
     });
 }
@@ -126,21 +126,21 @@
 }
 
 void read_batch(ArrayReader& from, std::vector<Chunk>& batch) {
-    from.each([&](ArrayReader& one) {
+    from.each([&](ArrayReader& item) {
         Chunk chunk;
-        chunk.key = one.text();
-        chunk.number = one.number<std::uint64_t>();
-        chunk.origin = one.number<int>(kMaxGatewayNumber);
-        chunk.deleted = one.flag();
-        chunk.expires_ms = one.number<std::int64_t>(kMaxUnixMs);
-        chunk.bytes = one.bytes();
+        chunk.key = item.text();
+        chunk.number = item.number<std::uint64_t>();
+        chunk.origin = item.number<int>(kMaxGatewayNumber);
+        chunk.deleted = item.flag();
+        chunk.expires_ms = item.number<std::int64_t>(kMaxUnixMs);
+        chunk.bytes = item.bytes();
         chunk.size = chunk.bytes.size();
         chunk.digest = hash_of(chunk.bytes);
         batch.push_back(std::move(chunk));
     });
 }
 
-// False where it is no message; a field that is spoilt shows in the reader.
+// False if the body is invalid; invalid fields may instead show as !from.good().
 bool read_body(ArrayReader& from, const json& datagram, Message& message) {
     switch (message.kind) {
         case MessageKind::kPing:
@@ -178,13 +178,13 @@
 }  // namespace
 
 std::size_t chunk_capacity(const std::string& key) {
-    // The header, the numbers at their longest, and the CBOR headers of all of them.
+    // The datagram header, the chunk's numbers at their longest, and their CBOR headers.
     constexpr std::size_t kOverheadBytes = 66;
     return kMaxDatagramBytes - kOverheadBytes - key.size();
 }
 
 std::size_t batch_size(const Record& record) {
-    // As it will be written, but for the CBOR header of its value.
+    // The record's fields as append_batch() writes them, without the value and its CBOR header.
     constexpr std::size_t kValueHeaderBytes = 4;
     return write_cbor(json{record.key, record.number, static_cast<unsigned>(record.origin), 1U,
                            static_cast<std::uint64_t>(record.expires_at.count() / 1'000'000)})
@@ -192,9 +192,9 @@
            record.value.size() + kValueHeaderBytes;
 }
 
-std::string encode(const Message& message, std::uint64_t turn) {
+std::string encode(const Message& message, std::uint64_t datagram_number) {
     json datagram = write_header(message);
-    append_body(datagram, message, turn);
+    append_body(datagram, message, datagram_number);
     std::string bytes = write_cbor(datagram);
     return bytes.size() <= kMaxDatagramBytes ? bytes : std::string();
 }
--- a/src/cluster/agreement/agreement_event.cpp
+++ b/src/cluster/agreement/agreement_event.cpp
@@ -2,7 +2,7 @@
 
 namespace linnetlead::agreement {
 
-// The texts are what operators search the log for; they do not change.
+// Operators search the log for these names, so they must not change.
 const char* to_string(EventKind kind) {
     switch (kind) {
         case EventKind::kMemberChanged:
--- a/src/cluster/agreement/agreement_event.h
+++ b/src/cluster/agreement/agreement_event.h
@@ -1,4 +1,4 @@
-// What the config agreement reports to the log.
+// The events that the config agreement reports to its owner, which writes them to the log.
 #pragma once
 
 #include <string>
@@ -8,21 +8,21 @@
 namespace linnetlead::agreement {
 
 enum class EventKind {
-    kMemberChanged,     // a member's presence
-    kJoined,            // this gateway has heard the group
+    kMemberChanged,     // another member's presence changed
+    kJoined,            // this gateway holds its first lease, or the first one after it lost contact
     kFenced,            // its lease ended
     kUnfenced,          // it holds a lease again
-    kProposed,          // by this gateway
-    kConflict,          // one number was proposed with unlike contents
-    kRefused,           // a proposal cannot be activated here
-    kDecided,           // an activation time is known
+    kProposed,          // this gateway proposed a version
+    kConflict,          // one version number was proposed with different contents
+    kRefused,           // this gateway cannot act on a proposal
+    kDecided,           // the activation time of a version is decided
     kActivated,         // a version became active
-    kRestored,          // a version is active from the saved state
-    kDeclaredGone,      // others took this gateway for gone
-    kStalled,           // the whole process stood still
-    kRecordsDiscarded,  // out of touch for too long: the group's records are taken instead of its own
+    kRestored,          // a version was restored from the saved state as active
+    kDeclaredGone,      // other members declared this gateway gone
+    kStalled,           // the process did not run for longer than half a lease
+    kRecordsDiscarded,  // this gateway's records, stale after a long loss of contact, were dropped
 };
-// As it is logged.
+// The name in the log.
 const char* to_string(EventKind kind);
 
 struct Event {
--- a/src/cluster/agreement/agreement_settings.h
+++ b/src/cluster/agreement/agreement_settings.h
@@ -1,4 +1,5 @@
-// Settings of the config agreement, and what it reports to its owner.
+// The settings of the config agreement and the callbacks to its owner. Shared by ConfigAgreement,
+// TopicAgreement and ActivationDecider.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +15,8 @@
 
 // How the gateways of a group reach each other.
 enum class Transport {
-    kNone,       // a gateway by itself
-    kDatagrams,  // each other, directly
+    kNone,       // not at all: a single gateway
+    kDatagrams,  // directly, by datagrams
     kCounter,    // only through the shared counter
 };
 
@@ -24,15 +25,15 @@
     int self = 0;
     Transport transport = Transport::kDatagrams;
     std::uint64_t seed = 0;
-    Incarnation incarnation = 1;  // above that of any earlier process of this gateway
+    Incarnation incarnation = 1;  // higher than in any earlier process of this gateway
     Duration lease = std::chrono::milliseconds(2000);
     Duration max_clock_skew = std::chrono::milliseconds(350);  // between any two gateways
-    // Between the decision and the activation; 0: by the group's size.
+    // From the decision to the activation; 0: derived from the group's size.
     Duration activation_delay{};
-    double datagrams_per_s = 50;  // sent by this gateway; a second's worth may go at once
+    double datagrams_per_s = 50;  // limit on sending; bursts of up to one second's worth are allowed
     Duration tombstone_lifetime = std::chrono::hours(1);
     Duration counter_slot = std::chrono::seconds(1);  // with Transport::kCounter
-    // Switch off a guard, so that a test can show what it is good for. Never set in a gateway.
+    // Each switches off a safeguard, so that a test can show what fails without it. Never set in production.
     struct TestSeams {
         bool never_fenced = false;
         bool without_tombstones = false;
@@ -40,24 +41,24 @@
     TestSeams test_seams;
 };
 
-// A lease of the counter's transport, in slots.
+// The lease with Transport::kCounter, in counter slots.
 constexpr int kCounterLeaseSlots = 3;
 
-// Any may be empty.
+// Each callback may be empty.
 struct AgreementCallbacks {
     std::function<void(int to, const std::string& datagram)> send;
-    // Adds to a count of the shared counter; answered by on_counter_answer().
-    std::function<void(const std::string& name, double amount, Duration life)> count;
+    // Adds to a count of the shared counter; the owner answers with on_counter_answer().
+    std::function<void(const std::string& name, double amount, Duration lifetime)> count;
     std::function<void(const Event&)> event;
-    // A proposal is here complete: can this gateway act on it? Answered by set_check_result(), at once or
-    // later.
+    // A complete proposal has arrived: asks whether this gateway can act on it. The owner answers with
+    // set_check_result(), at once or later.
     std::function<void(const std::string& topic, Version version, const std::string& value)> check;
-    // It is active from now on.
+    // The version is active from now on.
     std::function<void(const std::string& topic, Version version, const std::string& value)> activated;
     std::function<void(bool fenced)> fenced;
-    // A record that is not of a topic has come or changed.
+    // A record that belongs to no topic was received or restored.
     std::function<void(const Record&)> record;
-    // Payload that another module of that gateway sent.
+    // A payload sent with send_application() by the gateway `from`.
     std::function<void(int from, const std::string& payload)> application;
 };
 
--- a/src/cluster/agreement/anti_entropy.cpp
+++ b/src/cluster/agreement/anti_entropy.cpp
@@ -11,7 +11,7 @@
 
 std::uint32_t key_hash_of(const std::string& key) { return short_hash(hash_of(key)); }
 
-// The short records of one heartbeat, several to a datagram.
+// Sends the short records that go with one heartbeat, several per datagram.
 class BatchWriter {
 public:
     BatchWriter(AntiEntropy::Owner& owner, int to) : owner_(owner), to_(to) { begin(); }
@@ -24,9 +24,9 @@
     void flush() {
         if (!message_.batch.empty()) owner_.send(to_, std::exchange(message_, {}));
         begin();
-        ++flushed_;
+        ++flush_count_;
     }
-    int flushed() const { return flushed_; }
+    int flush_count() const { return flush_count_; }
 
 private:
     void begin() {
@@ -38,7 +38,7 @@
     int to_;
     Message message_;
     std::size_t room_ = 0;
-    int flushed_ = 0;
+    int flush_count_ = 0;
 };
 
 }  // namespace
@@ -53,7 +53,7 @@
     requested_at_.clear();
 }
 
-Chunk AntiEntropy::describe(const Record& record) {
+Chunk AntiEntropy::make_chunk(const Record& record) {
     Chunk chunk;
     chunk.key = record.key;
     chunk.number = record.number;
@@ -65,7 +65,7 @@
     return chunk;
 }
 
-// Short records are sent themselves; of longer ones it is only announced that they are here.
+// Short records are sent whole; longer ones are only offered, and the receiver requests those it lacks.
 void AntiEntropy::piggyback(int to) {
     std::vector<const Record*> long_records;
     BatchWriter batch(owner_, to);
@@ -84,24 +84,24 @@
             long_records.push_back(record);
         } else {
             if (!batch.has_room_for(bytes)) batch.flush();
-            if (batch.flushed() >= kMaxPiggybacked) break;
-            Chunk chunk = describe(*record);
+            if (batch.flush_count() >= kMaxPiggybacked) break;
+            Chunk chunk = make_chunk(*record);
             chunk.bytes = record->value;
             batch.add(std::move(chunk), bytes);
         }
         at = --at->second <= 0 ? pending_gossip_.erase(at) : std::next(at);
     }
-    if (batch.flushed() < kMaxPiggybacked) batch.flush();
+    if (batch.flush_count() < kMaxPiggybacked) batch.flush();
     if (!long_records.empty()) send_entries(to, MessageKind::kOffer, 0, long_records);
 }
 
-// What is passed on next removes most differences by itself. In a large group every contact is with another
-// member, so it is the rate of all comparisons together that is bounded.
-void AntiEntropy::on_difference(Timestamp now, int from) {
-    if (!pending_gossip_.empty() && now - idle_at_ < kMaxGossipPause) return;
-    if (pending_gossip_.empty()) idle_at_ = now;
-    if (now - compared_at_ < kCompareInterval) return;
-    compared_at_ = now;
+// Scheduled gossip removes most differences without a comparison. The rate of comparisons is limited over all
+// members together, since in a large group nearly every heartbeat is exchanged with a different member.
+void AntiEntropy::on_hash_mismatch(Timestamp now, int from) {
+    if (!pending_gossip_.empty() && now - last_idle_at_ < kMaxCompareDelay) return;
+    if (pending_gossip_.empty()) last_idle_at_ = now;
+    if (now - last_compared_at_ < kCompareInterval) return;
+    last_compared_at_ = now;
     Message message;
     message.kind = MessageKind::kBucketHashes;
     const auto& hashes = records_.bucket_hashes();
@@ -114,7 +114,7 @@
     for (std::size_t i = 0; i < max_chunks && (offset < record.value.size() || offset == 0); ++i) {
         Message message;
         message.kind = MessageKind::kChunk;
-        message.chunk = describe(record);
+        message.chunk = make_chunk(record);
         message.chunk.offset = offset;
         message.chunk.bytes = record.value.substr(offset, capacity);
         if (!owner_.send(to, std::move(message))) return;
@@ -122,8 +122,8 @@
     }
 }
 
-// In pages, by the short hash of the key. Each page names the last hash of the page before, so that the
-// receiver can tell what is missing between the two.
+// Sends the entries in pages, ordered by the short hash of the key. Each page states the last hash of the
+// previous page, so that the receiver can tell which of its records the sender lacks.
 void AntiEntropy::send_entries(int to, MessageKind kind, std::size_t bucket,
                                std::vector<const Record*> records) {
     std::sort(records.begin(), records.end(),
@@ -173,7 +173,7 @@
             on_chunk(now, message.from, message.chunk);
             break;
         case MessageKind::kBatch:
-            for (const Chunk& one : message.batch) on_chunk(now, message.from, one);
+            for (const Chunk& chunk : message.batch) on_chunk(now, message.from, chunk);
             break;
         default:
             break;
@@ -197,11 +197,11 @@
         if (!own || own->stamp() < entry.stamp) {
             request_record(now, message.from, entry.key_hash, 0);
         } else if (entry.stamp < own->stamp()) {
-            send_chunks(message.from, *own, 0, 1);  // of a longer record, it requests the rest
+            send_chunks(message.from, *own, 0, 1);  // the receiver requests the rest of a longer record
         }
     }
     if (message.kind == MessageKind::kOffer) return;
-    // Records between the ends of the page that are not on it are missing at the sender.
+    // The sender lacks the records whose hashes lie in the page's range and that the page does not list.
     const std::uint32_t last = message.has_more ? message.entries.back().key_hash : ~std::uint32_t{0};
     for (const Record* own : records_.records_in_bucket(message.bucket)) {
         const std::uint32_t key_hash = key_hash_of(own->key);
@@ -221,8 +221,8 @@
     return older || same;
 }
 
-// The transfer that a piece belongs to, begun with it where there is none; none where the piece is of an
-// older record than the one in transfer, or too many are in transfer.
+// Returns the transfer that a chunk belongs to, or starts one. Returns end() if a newer record of this key is
+// in transfer, or if there are too many transfers.
 AntiEntropy::IncompleteRecords::iterator AntiEntropy::transfer_for(Timestamp now, const Chunk& chunk) {
     auto at = incomplete_.find(chunk.key);
     if (at != incomplete_.end() &&
@@ -233,19 +233,19 @@
     }
     if (at != incomplete_.end()) return at;
     if (incomplete_.size() >= kMaxIncomplete) return incomplete_.end();
-    IncompleteRecord begun;
-    begun.record.key = chunk.key;
-    begun.record.number = chunk.number;
-    begun.record.origin = chunk.origin;
-    begun.record.deleted = chunk.deleted;
-    begun.record.expires_at = std::chrono::milliseconds(chunk.expires_ms);
-    begun.record.value.assign(chunk.size, '\0');
-    begun.digest = chunk.digest;
-    begun.piece_bytes = chunk_capacity(chunk.key);
-    begun.missing = (chunk.size + begun.piece_bytes - 1) / begun.piece_bytes;
-    begun.received.assign(begun.missing, false);
-    begun.started_at = now;
-    return incomplete_.emplace(chunk.key, std::move(begun)).first;
+    IncompleteRecord started;
+    started.record.key = chunk.key;
+    started.record.number = chunk.number;
+    started.record.origin = chunk.origin;
+    started.record.deleted = chunk.deleted;
+    started.record.expires_at = std::chrono::milliseconds(chunk.expires_ms);
+    started.record.value.assign(chunk.size, '\0');
+    started.digest = chunk.digest;
+    started.chunk_bytes = chunk_capacity(chunk.key);
+    started.missing = (chunk.size + started.chunk_bytes - 1) / started.chunk_bytes;
+    started.received.assign(started.missing, false);
+    started.started_at = now;
+    return incomplete_.emplace(chunk.key, std::move(started)).first;
 }
 
 void AntiEntropy::on_chunk(Timestamp now, int from, const Chunk& chunk) {
@@ -264,22 +264,22 @@
     }
     if (is_superseded(chunk)) return;
     const auto transfer = transfer_for(now, chunk);
-    if (transfer != incomplete_.end()) add_piece(now, from, chunk, transfer);
+    if (transfer != incomplete_.end()) add_chunk(now, from, chunk, transfer);
 }
 
-void AntiEntropy::add_piece(Timestamp now, int from, const Chunk& chunk,
+void AntiEntropy::add_chunk(Timestamp now, int from, const Chunk& chunk,
                             IncompleteRecords::iterator transfer) {
     IncompleteRecord& incomplete = transfer->second;
     if (chunk.size != incomplete.record.value.size()) return;
     incomplete.from = from;
-    const std::size_t piece = chunk.offset / incomplete.piece_bytes;
-    if (incomplete.received[piece]) return;
-    incomplete.received[piece] = true;
+    const std::size_t chunk_index = chunk.offset / incomplete.chunk_bytes;
+    if (incomplete.received[chunk_index]) return;
+    incomplete.received[chunk_index] = true;
     incomplete.record.value.replace(chunk.offset, chunk.bytes.size(), chunk.bytes);
     incomplete.requested_at = now;
     if (--incomplete.missing > 0) {
-        // The last piece that one request brings: the next request goes out at once.
-        if ((piece + 1) % kChunksPerRequest == 0) incomplete.requested_at = now - kRequestTimeout;
+        // This is the last chunk of one request, so let the next tick send the next request.
+        if ((chunk_index + 1) % kChunksPerRequest == 0) incomplete.requested_at = now - kRequestTimeout;
         return;
     }
     Record complete = std::move(incomplete.record);
@@ -289,7 +289,7 @@
 }
 
 void AntiEntropy::store(Timestamp now, Record record) {
-    if (!owner_.is_wanted(record)) return;
+    if (!owner_.should_store(record)) return;
     const std::string key = record.key;
     if (records_.merge(now, std::move(record)) != ReplicatedRecords::MergeResult::kApplied) return;
     schedule_gossip(key);
@@ -306,10 +306,10 @@
         if (now - incomplete.requested_at >= kRequestTimeout) {
             incomplete.requested_at = now;
             const auto gap = std::find(incomplete.received.begin(), incomplete.received.end(), false);
-            const auto piece = static_cast<std::size_t>(gap - incomplete.received.begin());
+            const auto chunk_index = static_cast<std::size_t>(gap - incomplete.received.begin());
             const std::uint32_t key_hash = key_hash_of(at->first);
             requested_at_.erase(key_hash);
-            request_record(now, incomplete.from, key_hash, piece * incomplete.piece_bytes);
+            request_record(now, incomplete.from, key_hash, chunk_index * incomplete.chunk_bytes);
         }
         ++at;
     }
--- a/src/cluster/agreement/cbor.h
+++ b/src/cluster/agreement/cbor.h
@@ -1,4 +1,4 @@
-// CBOR encoding by the JSON library, for datagrams, records and saved states.
+// Encodes and decodes CBOR with the JSON library, for datagrams, decision records and saved state.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,8 +7,8 @@
 
 namespace linnetlead::agreement {
 
-// Never throws. A discarded value (is_discarded()) where the bytes are not one complete CBOR item; the
-// library itself throws on a length that cannot be allocated, which counts as the same.
+// Never throws. Returns a discarded value (is_discarded()) if the bytes are not exactly one CBOR item, or if
+// they state a length that cannot be allocated, for which the library itself throws.
 nlohmann::json read_cbor(std::string_view bytes);
 std::string write_cbor(const nlohmann::json& value);
 
--- a/src/cluster/agreement/committee.cpp
+++ b/src/cluster/agreement/committee.cpp
@@ -27,20 +27,20 @@
 }
 
 bool Committee::supports(Timestamp now, const LeaseStatement& statement, const ConfigFingerprint& own) const {
-    const bool fresh = statement.at > valid_after_ && statement.at + lease_ > now;
-    return fresh &&
+    const bool is_valid = statement.at > valid_after_ && statement.at + lease_ > now;
+    return is_valid &&
            (statement.fingerprint.planned == own.planned || statement.fingerprint.active == own.active);
 }
 
 std::optional<Timestamp> Committee::lease_end(Timestamp now, const ConfigFingerprint& own) const {
-    std::vector<Timestamp> ends;
+    std::vector<Timestamp> lease_ends;
     for (const LeaseStatement& statement : statements_) {
-        if (supports(now, statement, own)) ends.push_back(statement.at + lease_);
+        if (supports(now, statement, own)) lease_ends.push_back(statement.at + lease_);
     }
     const auto needed = static_cast<std::size_t>(majority());
-    if (ends.size() < needed) return std::nullopt;
-    std::sort(ends.begin(), ends.end(), std::greater<>());
-    return ends[needed - 1];
+    if (lease_ends.size() < needed) return std::nullopt;
+    std::sort(lease_ends.begin(), lease_ends.end(), std::greater<>());
+    return lease_ends[needed - 1];
 }
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/committee.h
+++ b/src/cluster/agreement/committee.h
@@ -1,12 +1,13 @@
-// The lease by which a gateway knows that the group has not moved on without it. At most seven gateways,
-// spread evenly over the group, form the committee. Each member states from time to time which configuration
-// versions are active on it, and every heartbeat passes the latest statement of each member on. A gateway
-// acts on its configuration in full only while a majority of the committee has stated, within the lease, that
-// the same versions are active there.
+// Computes how long a gateway may assume that the group still uses the same configuration versions. At most
+// seven gateways, spread evenly over the group, form the committee. Each member regularly states which
+// versions are active on it, and every heartbeat carries the latest statement of each member. A gateway acts
+// on its configuration in full only while a majority of the committee has stated within the lease that the
+// same versions are active there.
 //
-// Guarantee: two gateways that act in full on contradicting versions each have a majority behind them, so one
-// member stated both within one lease. The time for which that can last is therefore the lease plus the clock
-// skew, whatever is lost, late, stopped or partitioned. No I/O and no clock: the caller passes the time.
+// Guarantee: if two gateways act in full on contradicting versions, each has a majority for its versions, so
+// at least one member stated both within one lease. This can therefore last at most for the lease plus the
+// clock skew, regardless of lost or late datagrams, stopped processes and partitions. No I/O and no clock:
+// the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -20,10 +21,10 @@
 using policy::Duration;
 using policy::Timestamp;
 
-// Hashes of a gateway's configuration: the versions that are active, and those together with the versions
-// that are decided and their activation times.
+// Hashes of the versions of a gateway's configuration.
 struct ConfigFingerprint {
-    std::uint32_t active = 0;
+    std::uint32_t active = 0;  // of the active versions
+    // Of each topic's decided version, or else its active one, with the activation time.
     std::uint32_t planned = 0;
     friend bool operator==(const ConfigFingerprint& a, const ConfigFingerprint& b) {
         return a.active == b.active && a.planned == b.planned;
@@ -31,9 +32,9 @@
     friend bool operator!=(const ConfigFingerprint& a, const ConfigFingerprint& b) { return !(a == b); }
 };
 
-// What one committee member stated about itself.
+// What a committee member states about itself.
 struct LeaseStatement {
-    Timestamp at{};  // by the member's clock; 0: it has stated nothing yet
+    Timestamp at{};  // by the member's clock; 0: no statement yet
     ConfigFingerprint fingerprint;
 };
 
@@ -41,25 +42,27 @@
 public:
     static constexpr int kMaxMembers = 7;
 
-    // `gateways`: size of the group; `lease`: how long a statement counts; `max_clock_skew`: by how much the
-    // gateways' clocks may differ.
+    // `gateways`: the size of the group; `lease`: how long a statement is valid; `max_clock_skew`: the
+    // largest difference between two gateways' clocks.
     Committee(int gateways, Duration lease, Duration max_clock_skew);
 
     int size() const { return static_cast<int>(members_.size()); }
     int majority() const { return size() / 2 + 1; }
-    // The gateway that has a seat, and the seat of a gateway, if it has one.
+    // The gateway in a seat.
     int member(int seat) const { return members_[static_cast<std::size_t>(seat)]; }
+    // The seat of a gateway; none if it is not a committee member.
     std::optional<int> seat_of(int gateway) const;
 
-    // Takes a statement if it is the member's latest. False where it is older than the one known, or from
-    // further ahead than the clocks may differ: a clock that runs ahead would prolong the lease.
+    // Stores a statement. False if it is not newer than the stored one, or if its time is further ahead than
+    // the clock skew allows: a fast clock would prolong the lease.
     bool record_statement(Timestamp now, int seat, const LeaseStatement& statement);
     const LeaseStatement& last_statement(int seat) const {
         return statements_[static_cast<std::size_t>(seat)];
     }
-    // When the lease ends if nothing more is heard; none where no majority states this fingerprint now.
+    // When the lease ends if no further statement arrives; none if no majority currently supports the
+    // fingerprint.
     std::optional<Timestamp> lease_end(Timestamp now, const ConfigFingerprint& own) const;
-    // Statements made up to `now` do not count any more.
+    // Ignores all statements made up to `now`.
     void discard_statements_until(Timestamp now) { valid_after_ = now; }
 
 private:
--- a/src/cluster/agreement/config_agreement.cpp
+++ b/src/cluster/agreement/config_agreement.cpp
@@ -12,24 +12,24 @@
 
 namespace {
 
-constexpr int kMembersToldOfLeave = 3;
+constexpr int kMembersNotifiedOfLeave = 3;
 
 Membership::Settings membership_settings(const ConfigAgreement::Settings& settings) {
-    Membership::Settings made;
-    made.gateways = settings.gateways;
-    made.self = settings.self;
-    made.incarnation = settings.incarnation;
-    made.seed = settings.seed;
-    made.ping_interval = ping_interval(settings.gateways);
-    return made;
+    Membership::Settings result;
+    result.gateways = settings.gateways;
+    result.self = settings.self;
+    result.incarnation = settings.incarnation;
+    result.seed = settings.seed;
+    result.ping_interval = ping_interval(settings.gateways);
+    return result;
 }
 
 ConfigLease::Settings lease_settings(const ConfigAgreement::Settings& settings) {
-    ConfigLease::Settings made;
-    made.lease = settings.lease;
-    made.tombstone_lifetime = settings.tombstone_lifetime;
-    made.can_be_fenced = !settings.test_seams.never_fenced && settings.transport != Transport::kNone;
-    return made;
+    ConfigLease::Settings result;
+    result.lease = settings.lease;
+    result.tombstone_lifetime = settings.tombstone_lifetime;
+    result.can_be_fenced = !settings.test_seams.never_fenced && settings.transport != Transport::kNone;
+    return result;
 }
 
 }  // namespace
@@ -46,7 +46,7 @@
       heartbeats_({members_, committee_, topic_agreement_.holders(), records_, topics()}, settings.lease),
       reported_presence_(static_cast<std::size_t>(settings.gateways), Presence::kGone) {}
 
-void ConfigAgreement::event(Timestamp now, EventKind kind, const std::string& text) {
+void ConfigAgreement::report_event(Timestamp now, EventKind kind, const std::string& text) {
     if (callbacks_.event) callbacks_.event({now, kind, text});
 }
 
@@ -63,19 +63,20 @@
     return {counts.sent, counts.bytes, counts.held_back, received_, invalid_};
 }
 
-// Against acting on what is out of date after the process stood still: what is received then may have waited
-// in the kernel for as long, and would look as if it were stated now.
-void ConfigAgreement::begin_event(Timestamp now) {
+// Prevents acting on outdated statements after a stall: datagrams that are received then may have waited in
+// the kernel for as long as the stall, and would look current.
+void ConfigAgreement::check_for_stall(Timestamp now) {
     const auto stalled = lease_.detect_stall(now);
     if (!stalled) return;
     committee_.discard_statements_until(now);
-    event(now, EventKind::kStalled, "for " + std::to_string(*stalled / 1ms) + " ms; the tier is heard anew");
+    report_event(now, EventKind::kStalled,
+                 "for " + std::to_string(*stalled / 1ms) + " ms; the tier is heard anew");
 }
 
 // ---- Datagrams ------------------------------------------------------------------------------------------
 
 void ConfigAgreement::on_datagram(Timestamp now, int from, std::string_view datagram) {
-    begin_event(now);
+    check_for_stall(now);
     latest_event_at_ = std::max(latest_event_at_, now);
     ++received_;
     const auto message = decode(datagram);
@@ -85,7 +86,7 @@
         return;
     }
     members_.on_direct_message(now, from, message->presence, message->incarnation);
-    // Of an earlier process of the member.
+    // Ignores datagrams of an earlier process of the member.
     if (message->incarnation < members_.incarnation_of(from)) return;
     switch (message->kind) {
         case MessageKind::kPing:
@@ -140,13 +141,13 @@
 
 void ConfigAgreement::on_heartbeat(Timestamp now, const Message& message) {
     if (heartbeats_.apply(now, message)) {
-        event(now, EventKind::kDeclaredGone,
-              "the others took this gateway for gone; it waits to hear them anew");
+        report_event(now, EventKind::kDeclaredGone,
+                     "the others took this gateway for gone; it waits to hear them anew");
     }
     if (!lease_.joined() && message.presence == Presence::kAlive && lease_.records_stale()) {
         discard_stale_records(now);
     }
-    if (message.heartbeat.records_hash != records_.hash()) anti_entropy_.on_difference(now, message.from);
+    if (message.heartbeat.records_hash != records_.hash()) anti_entropy_.on_hash_mismatch(now, message.from);
     renew_lease(now);
 }
 
@@ -155,32 +156,32 @@
     records_.clear();
     anti_entropy_.clear();
     ++change_count_;
-    event(now, EventKind::kRecordsDiscarded,
-          "out of touch for longer than tombstones last: the tier's records are taken whole");
+    report_event(now, EventKind::kRecordsDiscarded,
+                 "out of touch for longer than tombstones last: the tier's records are taken whole");
     topic_agreement_.refresh_proposals(now);
 }
 
 void ConfigAgreement::leave(Timestamp now) {
     leaving_ = true;
     members_.set_own_presence(Presence::kLeaving);
-    int left = kMembersToldOfLeave;
-    for (int member = 0; member < settings_.gateways && left > 0; ++member) {
+    int remaining = kMembersNotifiedOfLeave;
+    for (int member = 0; member < settings_.gateways && remaining > 0; ++member) {
         if (member == settings_.self || !members_.is_present(member) ||
             settings_.transport != Transport::kDatagrams) {
             continue;
         }
         send_ping(now, member, IndirectPings::kSequenceFlag, Priority::kAlways);
-        --left;
+        --remaining;
     }
 }
 
 // ---- Time -----------------------------------------------------------------------------------------------
 
 void ConfigAgreement::tick(Timestamp now) {
-    begin_event(now);
+    check_for_stall(now);
     latest_event_at_ = now;
-    if (now - swept_at_ >= kSweepInterval) {
-        swept_at_ = now;
+    if (now - last_sweep_at_ >= kSweepInterval) {
+        last_sweep_at_ = now;
         if (records_.remove_expired(now)) ++change_count_;
     }
     if (settings_.transport == Transport::kDatagrams && settings_.gateways > 1) tick_membership(now);
@@ -213,7 +214,7 @@
         Presence& reported = reported_presence_[static_cast<std::size_t>(member)];
         const Presence presence = members_.presence(member);
         if (member == settings_.self || reported == presence) continue;
-        event(now, EventKind::kMemberChanged, std::to_string(member) + " is " + to_string(presence));
+        report_event(now, EventKind::kMemberChanged, std::to_string(member) + " is " + to_string(presence));
         reported = presence;
         if (presence == Presence::kGone) topic_agreement_.holders().remove(member);
     }
@@ -226,7 +227,7 @@
     Timestamp end = settings_.transport == Transport::kCounter
                         ? topic_agreement_.voting().lease_end(own.active)
                         : committee_.lease_end(now, own).value_or(Timestamp{0});
-    // From its activation time on, a decided version is to be acted on, or nothing in full.
+    // From the activation time of a decided version on, no gateway may act in full on the previous version.
     if (const auto activation = topics().next_activation()) end = std::min(end, *activation);
     lease_.set_end(end);
 }
@@ -236,19 +237,19 @@
     const ConfigLease::Changes changes = lease_.update(now);
     if (changes.joined) {
         members_.set_own_presence(leaving_ ? Presence::kLeaving : Presence::kAlive);
-        event(now, EventKind::kJoined,
-              std::to_string(present_gateways()) + " of " + std::to_string(settings_.gateways) +
-                  " gateways are there");
+        report_event(now, EventKind::kJoined,
+                     std::to_string(present_gateways()) + " of " + std::to_string(settings_.gateways) +
+                         " gateways are there");
     }
     if (changes.lost_contact) members_.set_own_presence(Presence::kJoining);
     if (!changes.fenced_changed) return;
     const bool is_fenced = lease_.fenced(now);
     if (!is_fenced) {
-        event(now, EventKind::kUnfenced, "the tier acts on the same versions");
+        report_event(now, EventKind::kUnfenced, "the tier acts on the same versions");
     } else if (topics().has_missed_activation(now)) {
-        event(now, EventKind::kFenced, "a version has taken effect that this gateway cannot act on");
+        report_event(now, EventKind::kFenced, "a version has taken effect that this gateway cannot act on");
     } else {
-        event(now, EventKind::kFenced, "the tier has not been heard for the lease's time");
+        report_event(now, EventKind::kFenced, "the tier has not been heard for the lease's time");
     }
     if (callbacks_.fenced) callbacks_.fenced(is_fenced);
 }
@@ -285,18 +286,20 @@
 
 void ConfigAgreement::on_new_record(Timestamp now, const Record& record) {
     ++change_count_;
-    const bool is_of_a_topic = topic_agreement_.on_record_stored(now, record);
-    if (!is_of_a_topic && callbacks_.record) callbacks_.record(record);
+    const bool belongs_to_topic = topic_agreement_.on_record_stored(now, record);
+    if (!belongs_to_topic && callbacks_.record) callbacks_.record(record);
 }
 
-bool ConfigAgreement::put_record(Timestamp now, const std::string& key, std::string value, Duration life) {
+bool ConfigAgreement::put_record(Timestamp now, const std::string& key, std::string value,
+                                 Duration lifetime) {
     latest_event_at_ = std::max(latest_event_at_, now);
     const Record* before = records_.find(key);
     Record record;
     record.key = key;
     record.number = before ? before->number + 1 : 1;
     record.origin = settings_.self;
-    if (life > Duration{}) record.expires_at = std::chrono::ceil<std::chrono::milliseconds>(now + life);
+    if (lifetime > Duration{})
+        record.expires_at = std::chrono::ceil<std::chrono::milliseconds>(now + lifetime);
     record.value = std::move(value);
     if (records_.merge(now, std::move(record)) != ReplicatedRecords::MergeResult::kApplied) return false;
     ++change_count_;
@@ -352,7 +355,7 @@
     return topic ? topic->exclusive_from : Timestamp{};
 }
 
-// ---- Through a crash ------------------------------------------------------------------------------------
+// ---- Saved state ----------------------------------------------------------------------------------------
 
 std::string ConfigAgreement::save() const {
     return encode_state(latest_event_at_, lease_.last_contact(), records_, topics().all());
@@ -362,18 +365,18 @@
     auto saved = decode_state(state);
     if (!saved) return tl::unexpected<Error>(saved.error());
     latest_event_at_ = now;
-    for (SavedTopic& one : saved->topics) {
+    for (SavedTopic& saved_topic : saved->topics) {
         Topic topic;
-        topic.active = one.active;
-        topic.activated_at = one.activated_at;
-        topic.value = std::move(one.value);
+        topic.active = saved_topic.active;
+        topic.activated_at = saved_topic.activated_at;
+        topic.value = std::move(saved_topic.value);
         topic.exclusive_from = now + settings_.lease + settings_.max_clock_skew;
-        topic_agreement_.restore_topic(one.name, std::move(topic));
+        topic_agreement_.restore_topic(saved_topic.name, std::move(topic));
     }
     lease_.restore(now, saved->last_contact);
     for (Record& record : saved->records) {
         const std::string key = record.key;
-        if (topics().is_wanted(record) &&
+        if (topics().should_store(record) &&
             records_.merge(now, std::move(record)) == ReplicatedRecords::MergeResult::kApplied) {
             on_new_record(now, *records_.find(key));
         }
--- a/src/cluster/agreement/config_agreement.h
+++ b/src/cluster/agreement/config_agreement.h
@@ -1,12 +1,13 @@
-// What the gateways of a group agree on: who is up (membership), records that all of them come to hold, and
-// topics: pieces of configuration of which a new version becomes active at one time everywhere, once all
-// members that are up hold it. A gateway that cannot tell whether the others have moved on is fenced, and its
-// owner narrows what it acts on.
+// Keeps the gateways of a group in agreement on three things: which members are up, records that every member
+// eventually holds, and topics. A topic is a part of the configuration; a new version of it becomes active at
+// the same time on all members, once all members that are up hold it. A gateway that cannot tell whether the
+// others have activated another version is fenced, and its owner restricts what it acts on.
 //
-// ConfigAgreement only routes events to its parts: Membership, Heartbeats and IndirectPings (who is up),
-// AntiEntropy and ReplicatedRecords (records), TopicAgreement (from a proposal to an active version),
-// ConfigLease and Committee (whether this gateway is fenced), DatagramSender (the budget of datagrams). No
-// I/O and no clock: one seed and one course of events make one course of decisions.
+// ConfigAgreement is the interface for the rest of the process and routes events to its parts: Membership,
+// Heartbeats and IndirectPings (which members are up), AntiEntropy and ReplicatedRecords (records),
+// TopicAgreement (from a proposal to an active version), ConfigLease and Committee (whether this gateway is
+// fenced), DatagramSender (the datagram budget). No I/O and no clock: the same seed and the same events lead
+// to the same decisions.
 #pragma once
 
 #include <functional>
@@ -37,51 +38,55 @@
     ConfigAgreement(const ConfigAgreement&) = delete;
     ConfigAgreement& operator=(const ConfigAgreement&) = delete;
 
-    // Every 20 to 40 ms, and at next_activation().
+    // Call every 20 to 40 ms, and at next_activation().
     void tick(Timestamp now);
     void on_datagram(Timestamp now, int from, std::string_view datagram);
-    // The answer to a `count` callback; `ok` is false where the counter failed.
+    // The answer to a `count` callback; `ok` is false if the counter failed.
     void on_counter_answer(Timestamp now, const std::string& name, bool ok, double total);
-    // When the next decided version becomes active, if one is decided.
+    // When the next decided version becomes active; none if no version is decided.
     std::optional<Timestamp> next_activation() const { return topics().next_activation(); }
 
-    // Proposes a version of a topic. Succeeds also where it is known already. kInvalidArgument: outside the
-    // limits; kFailedPrecondition: older than the active or decided one; kAlreadyExists: the same number
-    // stands for other content; kResourceExhausted: no room for it.
+    // Proposes a version of a topic. Also succeeds if the version is already known. kInvalidArgument: outside
+    // the limits; kFailedPrecondition: older than the active or decided version; kAlreadyExists: the active
+    // or decided version has this number and other content; kResourceExhausted: the record store is full.
     Status propose(Timestamp now, const std::string& topic, std::uint64_t number, std::string value);
+    // The answer to a `check` callback.
     void set_check_result(Timestamp now, const std::string& topic, Version version, bool can_act_on_it);
 
-    // Records that are not of a topic. put_record() is false where there is no room; delete_record(), where
-    // there is none. `life`: from now; 0: for good.
-    bool put_record(Timestamp now, const std::string& key, std::string value, Duration life = {});
+    // For records that belong to no topic. put_record() returns false if the record store is full,
+    // delete_record() if there is no such record. `lifetime`: from now on; 0: unlimited.
+    bool put_record(Timestamp now, const std::string& key, std::string value, Duration lifetime = {});
     bool delete_record(Timestamp now, const std::string& key);
     const Record* find_record(const std::string& key) const { return records_.find(key); }
-    void for_each_record(const std::string& prefix, const std::function<void(const Record&)>& act) const {
-        records_.for_each_with_prefix(prefix, act);
+    void for_each_record(const std::string& prefix, const std::function<void(const Record&)>& visit) const {
+        records_.for_each_with_prefix(prefix, visit);
     }
-    // A datagram of another module, within its share of the budget. False: it was not sent.
+    // Sends a datagram for another module, within that module's share of the budget. False if it was not
+    // sent.
     bool send_application(Timestamp now, int to, const std::string& payload);
 
-    // Whether this gateway may not act on its configuration in full. Cheap, and right also directly after the
-    // process stood still.
+    // True if this gateway may not act on its configuration in full. Cheap, and also correct right after the
+    // process stalled.
     bool fenced(Timestamp now) const { return lease_.fenced(now); }
     std::optional<Timestamp> fenced_since() const { return lease_.fenced_since(); }
     Version active_version(const std::string& topic) const;
-    // Null where none is active.
+    // Null if no version is active.
     const std::string* active_value(const std::string& topic) const;
-    // The newest that is proposed and not active.
+    // The newest version that is proposed and neither active nor decided.
     std::optional<Version> proposed_version(const std::string& topic) const;
+    // When the decided version becomes active; none if no version is decided.
     std::optional<Timestamp> activation_time(const std::string& topic) const;
-    // The highest number of any proposal held, also of one in conflict; 0: none.
+    // The highest number of the proposals held here, including conflicting ones; 0: none.
     std::uint64_t highest_proposed_number(const std::string& topic) const {
         return topic_agreement_.highest_proposed_number(topic);
     }
-    // From when on no gateway acts in full on the version before the active one: the activation time and the
-    // clock skew, where all members that were up knew that time; else when the leases of the others are over.
+    // From when on no gateway acts in full on the version before the active one. This is the activation time
+    // plus the clock skew if all present members knew the decision, else the time when their leases have
+    // ended.
     Timestamp exclusive_from(const std::string& topic) const;
-    // This gateway may decide when what all hold becomes active.
+    // True if this gateway may currently decide activation times.
     bool may_decide(Timestamp now) const { return topic_agreement_.may_decide(now); }
-    // Present members that do not hold what is proposed, as far as is known.
+    // Present members that are not known to hold the current proposals.
     std::vector<int> members_without_proposal() const {
         return topic_agreement_.decider().members_without_proposal(topics());
     }
@@ -92,20 +97,21 @@
     int present_gateways() const;
     Transport transport() const { return settings_.transport; }
     int gateways() const { return settings_.gateways; }
-    // This gateway is about to stop: some others are told, so that they need not find out.
+    // Call before the process stops: notifies a few members, so that the group need not detect it.
     void leave(Timestamp now);
 
     struct Traffic {
-        std::uint64_t sent = 0, bytes = 0, held_back = 0;  // by this gateway
+        std::uint64_t sent = 0, bytes = 0, held_back = 0;  // held_back: not sent, over the budget
         std::uint64_t received = 0, invalid = 0;
     };
     Traffic traffic() const;
 
-    // What survives a crash; restore() before the first tick. The restored versions are active, but fenced
-    // until the group has been heard. kDataLoss where it is no such state.
+    // The state that survives a crash, encoded.
     std::string save() const;
+    // Call before the first tick. The restored versions are active, but the gateway is fenced until it holds
+    // a lease. kDataLoss if `state` is not a valid saved state.
     Status restore(Timestamp now, const std::string& state);
-    // Grows with each change of what save() returns.
+    // Increases with each change to the saved state.
     std::uint64_t change_count() const { return change_count_ + topic_agreement_.change_count(); }
 
 private:
@@ -113,11 +119,11 @@
 
     // AntiEntropy::Owner
     bool send(int to, Message message) override;
-    bool is_wanted(const Record& record) const override { return topics().is_wanted(record); }
+    bool should_store(const Record& record) const override { return topics().should_store(record); }
     void on_record_stored(const Record& record) override { on_new_record(latest_event_at_, record); }
 
-    void event(Timestamp now, EventKind kind, const std::string& text);
-    void begin_event(Timestamp now);
+    void report_event(Timestamp now, EventKind kind, const std::string& text);
+    void check_for_stall(Timestamp now);
     void send_ping(Timestamp now, int to, std::uint32_t sequence, DatagramSender::Priority priority);
     void on_ping(Timestamp now, const Message& message);
     void on_ack(Timestamp now, const Message& message);
@@ -145,7 +151,7 @@
     Heartbeats heartbeats_;
     IndirectPings indirect_pings_;
     bool leaving_ = false;
-    Timestamp latest_event_at_{}, swept_at_{};
+    Timestamp latest_event_at_{}, last_sweep_at_{};
     std::uint64_t change_count_ = 0;
     std::uint64_t received_ = 0, invalid_ = 0;  // datagrams
     std::vector<Presence> reported_presence_;   // by member
--- a/src/cluster/agreement/config_lease.cpp
+++ b/src/cluster/agreement/config_lease.cpp
@@ -18,21 +18,21 @@
         last_contact_ = now;
         changes.joined = !std::exchange(joined_, true);
         if (changes.joined) records_stale_ = false;
-    } else if (joined_ && now - last_contact_ > max_silence()) {
+    } else if (joined_ && now - last_contact_ > max_time_without_contact()) {
         joined_ = false;
         records_stale_ = true;
         changes.lost_contact = true;
     }
     if (is_fenced == was_fenced_) return changes;
     was_fenced_ = is_fenced;
-    changed_at_ = now;
+    fenced_changed_at_ = now;
     changes.fenced_changed = true;
     return changes;
 }
 
 void ConfigLease::restore(Timestamp now, Timestamp last_contact) {
     last_contact_ = last_contact;
-    records_stale_ = now - last_contact_ > max_silence();
+    records_stale_ = now - last_contact_ > max_time_without_contact();
 }
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/config_topics.cpp
+++ b/src/cluster/agreement/config_topics.cpp
@@ -29,8 +29,9 @@
         if (key) proposed[key->version.number].insert(key->version.digest);
     });
     std::vector<std::string> conflicts;
-    const std::uint64_t above = topic.decision ? topic.decision->version.number : topic.active.number;
-    for (auto at = proposed.rbegin(); at != proposed.rend() && at->first > above; ++at) {
+    const std::uint64_t newest_decided =
+        topic.decision ? topic.decision->version.number : topic.active.number;
+    for (auto at = proposed.rbegin(); at != proposed.rend() && at->first > newest_decided; ++at) {
         if (at->second.size() == 1) {
             candidates_[name] = {at->first, *at->second.begin()};
             break;
@@ -46,24 +47,25 @@
 std::vector<std::string> ConfigTopics::refresh_candidates(Timestamp now, const ReplicatedRecords& records) {
     candidates_.clear();
     std::vector<std::string> conflicts;
-    std::string known;
+    std::string hashed;
     bool can_act = true;
     for (auto& [name, topic] : topics_) {
         for (std::string& text : refresh_topic(name, topic, records)) conflicts.push_back(std::move(text));
         const auto candidate = candidates_.find(name);
         if (candidate == candidates_.end()) continue;
-        known += proposal_key(name, candidate->second);
+        hashed += proposal_key(name, candidate->second);
         can_act = can_act && can_act_on(topic, candidate->second);
     }
-    // Who knows of a decision, and later who has activated it, is found out in the same way as who holds a
-    // proposal.
+    // The hash also covers decisions and recent activations. Heartbeats thus show which members know a
+    // decision and have activated it, in the same way as they show which members hold a proposal.
     for (const auto& [name, topic] : topics_) {
-        if (!topic.decision && now < topic.confirm_until) known += proposal_key(name, topic.active) + '!';
+        if (!topic.decision && now < topic.confirm_until) hashed += proposal_key(name, topic.active) + '!';
         if (!topic.decision) continue;
-        known += proposal_key(name, topic.decision->version) + '@' + std::to_string(topic.decision->at / 1ms);
+        hashed +=
+            proposal_key(name, topic.decision->version) + '@' + std::to_string(topic.decision->at / 1ms);
         can_act = can_act && can_act_on(topic, topic.decision->version);
     }
-    proposal_hash_ = known.empty() || !can_act ? 0 : std::max(1U, short_hash(hash_of(known)));
+    proposal_hash_ = hashed.empty() || !can_act ? 0 : std::max(1U, short_hash(hash_of(hashed)));
     return conflicts;
 }
 
@@ -99,12 +101,12 @@
     if (decision.version.number < topic.active.number) return DecisionResult::kOutdated;
     if (decision.version == topic.active) {
         fingerprint_.reset();
-        topic.activated_at = decision.at;  // where two gateways decided it, all name the same time in the end
+        topic.activated_at = decision.at;  // if two gateways decided, all adopt the same time
         return DecisionResult::kAlreadyActive;
     }
-    const bool known = topic.decision && topic.decision->version == decision.version;
+    const bool already_decided = topic.decision && topic.decision->version == decision.version;
     set_decision(name, decision);
-    return known ? DecisionResult::kKnown : DecisionResult::kNew;
+    return already_decided ? DecisionResult::kAlreadyDecided : DecisionResult::kNew;
 }
 
 void ConfigTopics::set_decision(const std::string& name, const ActivationDecision& decision) {
@@ -142,7 +144,7 @@
     });
 }
 
-bool ConfigTopics::is_wanted(const Record& record) const {
+bool ConfigTopics::should_store(const Record& record) const {
     const auto proposal = parse_proposal_key(record.key);
     const auto decided_topic = proposal ? std::nullopt : parse_decision_key(record.key);
     if (!proposal && !decided_topic) return true;
--- a/src/cluster/agreement/config_topics.h
+++ b/src/cluster/agreement/config_topics.h
@@ -1,6 +1,6 @@
-// The state of each topic at this gateway: the version that is active, what is proposed after it, which
-// proposals this gateway can act on, and the decision when the next becomes active. Pure state: it sends
-// nothing, and the caller passes the time.
+// The state of each topic on this gateway: the active version, the proposals that may follow it, which of
+// them this gateway can act on, and the decision when the next version becomes active. Used by
+// TopicAgreement. Pure state: it sends nothing, and the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 namespace linnetlead::agreement {
 
-// That a version becomes active, and when (Unix time).
+// The decision that a version becomes active at a time (Unix time).
 struct ActivationDecision {
     Version version;
     Timestamp at{};
@@ -27,7 +27,7 @@
     Timestamp activated_at{};
     // From when on no gateway acts in full on the version before the active one.
     Timestamp exclusive_from{};
-    // Until then it is found out whether all gateways have activated it; 0: it is over.
+    // Until when confirmations are collected that all gateways have activated it; 0: no longer.
     Timestamp confirm_until{};
     std::string value;  // of the active version
     std::optional<ActivationDecision> decision;
@@ -45,34 +45,38 @@
     std::map<std::string, Topic>& all() { return topics_; }
     const std::map<std::string, Topic>& all() const { return topics_; }
 
-    // Finds the newest proposal of each topic again; a number that stands for unlike contents is none.
-    // Returns a text for each conflict that is new.
+    // Recomputes the candidates: the newest proposal of each topic. A number that was proposed with different
+    // contents is in conflict and is skipped. Returns a text for each new conflict.
     std::vector<std::string> refresh_candidates(Timestamp now, const ReplicatedRecords& records);
-    // As of the last refresh.
+    // As of the last refresh_candidates().
     const Versions& candidates() const { return candidates_; }
-    // Of all that is proposed, decided or being confirmed; 0 where there is nothing, or something that this
-    // gateway cannot act on. Gateways with the same hash know of the same.
+    // A hash of all candidates, decisions and versions being confirmed. 0 if there are none, or if this
+    // gateway cannot act on one of them. Gateways with the same hash hold the same.
     std::uint32_t proposal_hash() const { return proposal_hash_; }
-    // Of what will be active when the candidates are.
+    // A hash of the versions that are active once the candidates are.
     std::uint32_t next_active_hash() const;
-    // Of what is active, and of that with the decisions.
     const ConfigFingerprint& fingerprint() const;
 
-    enum class DecisionResult { kOutdated, kAlreadyActive, kKnown, kNew };
+    enum class DecisionResult {
+        kOutdated,        // for a version older than the active one
+        kAlreadyActive,   // for the active version
+        kAlreadyDecided,  // for the decided version; the activation time may be another
+        kNew
+    };
     DecisionResult apply_decision(const std::string& name, const ActivationDecision& decision);
     void set_decision(const std::string& name, const ActivationDecision& decision);
-    // The decided version becomes active.
+    // Makes the decided version the active one.
     void activate(Topic& topic, Version version, std::string value);
     void restore(const std::string& name, Topic topic);
 
     std::optional<Timestamp> next_activation() const;
-    // A decided version's time has come, and it is not active here.
+    // True if the activation time of a decided version has passed and the version is not active here.
     bool has_missed_activation(Timestamp now) const;
-    // Whether a record of a proposal or decision is worth keeping beside what is active.
-    bool is_wanted(const Record& record) const;
+    // False for the record of a proposal or decision that the active version supersedes.
+    bool should_store(const Record& record) const;
 
 private:
-    // Check results kept of a topic when a version becomes active; proposals are rare.
+    // The number of check results that a topic keeps after an activation; proposals are rare.
     static constexpr std::size_t kMaxChecked = 64;
 
     std::vector<std::string> refresh_topic(const std::string& name, Topic& topic,
@@ -81,7 +85,7 @@
     std::map<std::string, Topic> topics_;
     Versions candidates_;
     std::uint32_t proposal_hash_ = 0;
-    mutable std::optional<ConfigFingerprint> fingerprint_;  // until what it is of changes
+    mutable std::optional<ConfigFingerprint> fingerprint_;  // cached; empty after a change
 };
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/config_version.cpp
+++ b/src/cluster/agreement/config_version.cpp
@@ -33,15 +33,15 @@
 }
 
 std::optional<ProposalKey> parse_proposal_key(const std::string& key) {
-    const auto first = key.find(kSeparator), second = key.rfind(kSeparator);
-    if (first == std::string::npos || second == first) return std::nullopt;
+    const auto first_separator = key.find(kSeparator), second_separator = key.rfind(kSeparator);
+    if (first_separator == std::string::npos || second_separator == first_separator) return std::nullopt;
     ProposalKey parsed;
-    parsed.topic = key.substr(0, first);
+    parsed.topic = key.substr(0, first_separator);
     char* end = nullptr;
-    parsed.version.number = std::strtoull(key.c_str() + first + 1, &end, 10);
-    if (end != key.c_str() + second || parsed.version.number == 0) return std::nullopt;
-    parsed.version.digest = std::strtoull(key.c_str() + second + 1, &end, 16);
-    if (*end != '\0' || key.size() - second != kDigestDigits + 1) return std::nullopt;
+    parsed.version.number = std::strtoull(key.c_str() + first_separator + 1, &end, 10);
+    if (end != key.c_str() + second_separator || parsed.version.number == 0) return std::nullopt;
+    parsed.version.digest = std::strtoull(key.c_str() + second_separator + 1, &end, 16);
+    if (*end != '\0' || key.size() - second_separator != kDigestDigits + 1) return std::nullopt;
     return parsed;
 }
 
--- a/src/cluster/agreement/config_version.h
+++ b/src/cluster/agreement/config_version.h
@@ -1,5 +1,6 @@
-// A version of a topic (a piece of configuration that the gateways agree on), and the keys of the records
-// that carry proposals and activation decisions. The keys are a format.
+// A version of a topic (a part of the configuration that the gateways agree on), and the keys of the records
+// that carry proposals and activation decisions. The keys are part of the wire and state file formats. Used
+// by TopicAgreement and ConfigTopics.
 #pragma once
 
 #include <cstdint>
@@ -17,24 +18,25 @@
     friend bool operator!=(const Version& a, const Version& b) { return !(a == b); }
 };
 
-// "NUMBER (DIGEST)", as it is logged.
+// "NUMBER (DIGEST)", for log lines and error messages.
 std::string to_string(Version version);
 
-// "TOPIC#NUMBER#DIGEST": the record of a proposal, whose value is the content.
+// A proposal's record has the key "TOPIC#NUMBER#DIGEST"; its value is the content.
 struct ProposalKey {
     std::string topic;
     Version version;
 };
 std::string proposal_key(const std::string& topic, Version version);
 std::optional<ProposalKey> parse_proposal_key(const std::string& key);
-// The prefix of the keys of all proposals of a topic.
+// The common prefix of the keys of a topic's proposals.
 std::string proposal_prefix(const std::string& topic);
 
-// "TOPIC.at": the record of the decision when a version becomes active. Returns the topic.
+// The record of an activation decision has the key "TOPIC.at".
 std::string decision_key(const std::string& topic);
+// Returns the topic.
 std::optional<std::string> parse_decision_key(const std::string& key);
 
-// One number for a version's number and content.
+// A hash of a version's number and digest.
 std::uint64_t version_hash(Version version);
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/counter_slots.cpp
+++ b/src/cluster/agreement/counter_slots.cpp
@@ -8,15 +8,15 @@
 SlotQuery::SlotQuery(std::int64_t slot, std::vector<std::string> names)
     : slot_(slot), names_(std::move(names)), totals_(names_.size()), missing_(names_.size()) {}
 
-void SlotQuery::send(Counting& counter, Duration life) const {
-    for (const std::string& name : names_) counter.count(name, 0, life);
+void SlotQuery::send(Counting& counter, Duration lifetime) const {
+    for (const std::string& name : names_) counter.count(name, 0, lifetime);
 }
 
 bool SlotQuery::take_answer(const std::string& name, bool ok, double total) {
     for (std::size_t index = 0; index < totals_.size(); ++index) {
         if (totals_[index] || names_[index] != name) continue;
         if (!ok || !std::isfinite(total)) {
-            *this = {};  // this slot says nothing
+            *this = {};  // the slot's counts are unusable
             return false;
         }
         totals_[index] = total;
--- a/src/cluster/agreement/datagram_sender.h
+++ b/src/cluster/agreement/datagram_sender.h
@@ -1,5 +1,5 @@
-// Sends datagrams within a budget per second: one for the agreement's own, one for those of other modules, so
-// that neither can starve the other.
+// Sends datagrams within a rate limit. The agreement's datagrams and those of other modules have separate
+// budgets, so that neither can starve the other. Used by ConfigAgreement.
 #pragma once
 
 #include <cstdint>
@@ -11,14 +11,15 @@
 
 namespace linnetlead::agreement {
 
-// A token bucket that holds one second's worth.
+// A token bucket with a capacity of one second's worth of datagrams.
 class DatagramBudget {
 public:
-    explicit DatagramBudget(double per_s) : per_s_(per_s) {}
-    bool take(Timestamp now);
+    explicit DatagramBudget(double datagrams_per_s) : datagrams_per_s_(datagrams_per_s) {}
+    // Takes one token; false if there is none.
+    bool take_token(Timestamp now);
 
 private:
-    double per_s_;
+    double datagrams_per_s_;
     double tokens_ = 0;
     Timestamp filled_at_{};
 };
@@ -28,22 +29,24 @@
     using Send = std::function<void(int to, const std::string& datagram)>;
     enum class Priority {
         kWithinBudget,
-        kAlways,  // sent even if the budget has no room, and taken from it if it has
+        kAlways,  // uses the budget, but is sent even if it is exhausted
     };
+    // held_back: datagrams not sent because the budget was exhausted.
     struct Counts {
         std::uint64_t sent = 0, bytes = 0, held_back = 0;
     };
 
-    // `send` and `members` outlive it. `per_s`: datagrams a second, of all kinds.
-    DatagramSender(const Send& send, const Membership& members, double per_s);
+    // `send` and `members` outlive the sender. `datagrams_per_s`: the limit for both budgets together.
+    DatagramSender(const Send& send, const Membership& members, double datagrams_per_s);
 
-    // False where it was held back.
+    // False if the datagram was held back.
     bool send(Timestamp now, int to, Message message, Priority priority = Priority::kWithinBudget);
+    // Sends a datagram of another module; false if it was held back.
     bool send_application(Timestamp now, int to, const std::string& payload);
     const Counts& counts() const { return counts_; }
 
 private:
-    // Of all datagrams, for other modules.
+    // The share of the limit that is reserved for other modules.
     static constexpr double kApplicationShare = 0.35;
     void write(int to, Message message);
 
@@ -51,7 +54,7 @@
     const Membership& members_;
     DatagramBudget agreement_, application_;
     Counts counts_;
-    std::uint64_t turn_ = 0;  // datagrams written
+    std::uint64_t datagrams_written_ = 0;
 };
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/heartbeat_codec.cpp
+++ b/src/cluster/agreement/heartbeat_codec.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-// The headers of the three lists, which grow by a byte or two when the lists are long.
+// Reserved for the CBOR headers of the three lists; a long list's header is a byte or two longer.
 constexpr std::size_t kListHeaderBytes = 6;
 constexpr std::uint64_t kMaxAgeMs = 65535;
 
-// What is still free in a datagram.
-class Room {
+// The bytes that are still free in a datagram.
+class FreeBytes {
 public:
-    explicit Room(std::size_t used) : bytes_(kMaxDatagramBytes - std::min(kMaxDatagramBytes, used)) {}
+    explicit FreeBytes(std::size_t used) : bytes_(kMaxDatagramBytes - std::min(kMaxDatagramBytes, used)) {}
     bool take(std::size_t bytes) {
         if (bytes > bytes_) return false;
         bytes_ -= bytes;
         return true;
     }
-    // False where the item does not fit.
-    bool add_to(json& list, json item) {
+    // Appends the item to the list; false if it does not fit.
+    bool append_to(json& list, json item) {
         if (!take(write_cbor(item).size())) return false;
         list.push_back(std::move(item));
         return true;
@@ -35,31 +35,32 @@
     std::size_t bytes_;
 };
 
-json gossip_that_fits(const Heartbeat& heartbeat, Room& room) {
+json gossip_that_fits(const Heartbeat& heartbeat, FreeBytes& free_bytes) {
     json list = json::array();
     for (const Gossip& gossip : heartbeat.gossip) {
-        if (!room.add_to(list, {static_cast<unsigned>(gossip.member), static_cast<unsigned>(gossip.presence),
-                                gossip.incarnation})) {
+        if (!free_bytes.append_to(list, {static_cast<unsigned>(gossip.member),
+                                         static_cast<unsigned>(gossip.presence), gossip.incarnation})) {
             break;
         }
     }
     return list;
 }
 
-json statements_that_fit(const Heartbeat& heartbeat, Room& room) {
+json statements_that_fit(const Heartbeat& heartbeat, FreeBytes& free_bytes) {
     json list = json::array();
-    for (const Heartbeat::Statement& one : heartbeat.statements) {
-        if (!room.add_to(list, {static_cast<unsigned>(one.seat), static_cast<std::uint64_t>(one.age_ms),
-                                one.fingerprint.active, one.fingerprint.planned})) {
+    for (const Heartbeat::Statement& statement : heartbeat.statements) {
+        if (!free_bytes.append_to(
+                list, {static_cast<unsigned>(statement.seat), static_cast<std::uint64_t>(statement.age_ms),
+                       statement.fingerprint.active, statement.fingerprint.planned})) {
             break;
         }
     }
     return list;
 }
 
-json holders_if_they_fit(const Heartbeat& heartbeat, Room& room) {
-    const bool fit = !heartbeat.holders.empty() && room.take(heartbeat.holders.size());
-    return binary(fit ? heartbeat.holders : std::string());
+json holders_if_they_fit(const Heartbeat& heartbeat, FreeBytes& free_bytes) {
+    const bool has_room = !heartbeat.holders.empty() && free_bytes.take(heartbeat.holders.size());
+    return binary(has_room ? heartbeat.holders : std::string());
 }
 
 }  // namespace
@@ -68,20 +69,20 @@
     return json::binary(std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
 }
 
-void append_heartbeat(json& datagram, const Heartbeat& heartbeat, std::uint64_t turn) {
+void append_heartbeat(json& datagram, const Heartbeat& heartbeat, std::uint64_t datagram_number) {
     datagram.push_back(static_cast<std::uint64_t>(heartbeat.sent_ms));
     datagram.push_back(heartbeat.records_hash);
     datagram.push_back(heartbeat.proposal_hash);
-    Room room(write_cbor(datagram).size() + kListHeaderBytes);
-    // Gossip takes its room first: its first item may be one that the receiver has to refute.
-    json gossip = gossip_that_fits(heartbeat, room);
+    FreeBytes free_bytes(write_cbor(datagram).size() + kListHeaderBytes);
+    // Gossip takes precedence: its first item may be one that the receiver has to refute.
+    json gossip = gossip_that_fits(heartbeat, free_bytes);
     json statements, holders;
-    if (turn % 2 == 0) {
-        statements = statements_that_fit(heartbeat, room);
-        holders = holders_if_they_fit(heartbeat, room);
+    if (datagram_number % 2 == 0) {
+        statements = statements_that_fit(heartbeat, free_bytes);
+        holders = holders_if_they_fit(heartbeat, free_bytes);
     } else {
-        holders = holders_if_they_fit(heartbeat, room);
-        statements = statements_that_fit(heartbeat, room);
+        holders = holders_if_they_fit(heartbeat, free_bytes);
+        statements = statements_that_fit(heartbeat, free_bytes);
     }
     datagram.push_back(std::move(statements));
     datagram.push_back(std::move(holders));
@@ -93,20 +94,20 @@
     heartbeat.sent_ms = from.number<std::int64_t>(kMaxUnixMs);
     heartbeat.records_hash = from.number<std::uint64_t>();
     heartbeat.proposal_hash = from.number<std::uint32_t>(kMaxUint32);
-    from.each([&](ArrayReader& one) {
+    from.each([&](ArrayReader& item) {
         Heartbeat::Statement statement;
-        statement.seat = one.number<int>(Committee::kMaxMembers - 1);
-        statement.age_ms = one.number<std::int64_t>(kMaxAgeMs);
-        statement.fingerprint.active = one.number<std::uint32_t>(kMaxUint32);
-        statement.fingerprint.planned = one.number<std::uint32_t>(kMaxUint32);
+        statement.seat = item.number<int>(Committee::kMaxMembers - 1);
+        statement.age_ms = item.number<std::int64_t>(kMaxAgeMs);
+        statement.fingerprint.active = item.number<std::uint32_t>(kMaxUint32);
+        statement.fingerprint.planned = item.number<std::uint32_t>(kMaxUint32);
         heartbeat.statements.push_back(statement);
     });
     heartbeat.holders = from.bytes();
-    from.each([&](ArrayReader& one) {
+    from.each([&](ArrayReader& item) {
         Gossip gossip;
-        gossip.member = one.number<int>(kMaxGatewayNumber);
-        gossip.presence = static_cast<Presence>(one.number<int>(static_cast<int>(Presence::kGone)));
-        gossip.incarnation = one.number<Incarnation>();
+        gossip.member = item.number<int>(kMaxGatewayNumber);
+        gossip.presence = static_cast<Presence>(item.number<int>(static_cast<int>(Presence::kGone)));
+        gossip.incarnation = item.number<Incarnation>();
         heartbeat.gossip.push_back(gossip);
     });
     return heartbeat;
--- a/src/cluster/agreement/heartbeat_codec.h
+++ b/src/cluster/agreement/heartbeat_codec.h
@@ -1,4 +1,5 @@
-// The heartbeat's part of a datagram, and the reader of CBOR arrays that the datagram codec is built on.
+// Encodes and decodes the heartbeat in a datagram, and defines the reader of CBOR arrays that the datagram
+// codec uses. Called by agreement_codec.cpp only.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +10,16 @@
 
 namespace linnetlead::agreement {
 
-// Bounds of what a datagram may state.
+// Upper bounds of values in a datagram.
 constexpr std::uint64_t kMaxGatewayNumber = 9999;
 constexpr std::uint64_t kMaxUnixMs = std::uint64_t{1} << 52;
 constexpr std::uint64_t kMaxUint32 = ~std::uint32_t{0};
 
+// A CBOR byte string.
 nlohmann::json binary(const std::string& bytes);
 
-// Reads the values of an array one after another. One that is missing, of another type or out of its bounds
-// spoils the whole: good() is false from then on, and all that is read is zero or empty.
+// Reads the values of an array in order. After a value that is missing, of another type or out of bounds,
+// good() is false and all further values read as zero or empty.
 class ArrayReader {
 public:
     explicit ArrayReader(const nlohmann::json& array) : array_(&array), good_(array.is_array()) {}
@@ -41,14 +43,14 @@
         const auto& read = value->get_binary();
         return {read.begin(), read.end()};
     }
-    // Calls `act` with a reader of each array in the array that follows.
-    template <typename Act>
-    void each(Act act) {
+    // The next value is an array of arrays: calls `read_item` with a reader of each inner array.
+    template <typename ReadItem>
+    void each(ReadItem read_item) {
         const nlohmann::json* value = next();
         if (!value || !value->is_array()) return void(fail<int>());
-        for (const nlohmann::json& one : *value) {
-            ArrayReader inner(one);
-            act(inner);
+        for (const nlohmann::json& item : *value) {
+            ArrayReader inner(item);
+            read_item(inner);
             good_ = good_ && inner.good_;
         }
     }
@@ -56,8 +58,8 @@
 
 private:
     const nlohmann::json* next() {
-        if (!good_ || at_ >= array_->size()) return nullptr;
-        return &(*array_)[at_++];
+        if (!good_ || position_ >= array_->size()) return nullptr;
+        return &(*array_)[position_++];
     }
     template <typename Value>
     Value fail() {
@@ -65,12 +67,13 @@
         return {};
     }
     const nlohmann::json* array_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     bool good_ = true;
 };
 
-// Appends a heartbeat to a datagram that holds all that goes before it.
-void append_heartbeat(nlohmann::json& datagram, const Heartbeat& heartbeat, std::uint64_t turn);
+// Appends a heartbeat to a datagram that is complete up to it, so that the remaining bytes are known. For
+// `datagram_number` see encode().
+void append_heartbeat(nlohmann::json& datagram, const Heartbeat& heartbeat, std::uint64_t datagram_number);
 Heartbeat read_heartbeat(ArrayReader& from);
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/heartbeats.cpp
+++ b/src/cluster/agreement/heartbeats.cpp
@@ -20,8 +20,8 @@
     heartbeat.sent_ms = now / 1ms;
     heartbeat.records_hash = state_.records.hash();
     heartbeat.proposal_hash = state_.holders.hash();
-    // Ages are sent in whole milliseconds; with the rest of the clock's time a statement would look later
-    // than it was made.
+    // Ages are relative to the sent time in whole milliseconds; relative to the exact time, a statement would
+    // look newer than it is to the receiver.
     const Timestamp sent = std::chrono::milliseconds(heartbeat.sent_ms);
     Committee& committee = state_.committee;
     if (const auto seat = committee.seat_of(state_.members.self())) {
@@ -41,9 +41,9 @@
 bool Heartbeats::apply(Timestamp now, const Message& message) {
     const Heartbeat& heartbeat = message.heartbeat;
     const Timestamp sent = std::chrono::milliseconds(heartbeat.sent_ms);
-    for (const Heartbeat::Statement& one : heartbeat.statements) {
-        const Timestamp made_at = sent - std::chrono::milliseconds(one.age_ms);
-        state_.committee.record_statement(now, one.seat, {made_at, one.fingerprint});
+    for (const Heartbeat::Statement& statement : heartbeat.statements) {
+        const Timestamp made_at = sent - std::chrono::milliseconds(statement.age_ms);
+        state_.committee.record_statement(now, statement.seat, {made_at, statement.fingerprint});
     }
     for (const Gossip& gossip : heartbeat.gossip) state_.members.apply_gossip(now, gossip);
     const bool declared_gone = state_.members.times_declared_gone() != times_declared_gone_;
--- a/src/cluster/agreement/heartbeats.h
+++ b/src/cluster/agreement/heartbeats.h
@@ -1,5 +1,5 @@
-// Builds the heartbeats that pings and their answers carry, and applies those that are received: committee
-// statements, gossip, and who holds which proposal.
+// Builds the heartbeats in pings and acks, and applies received ones: committee statements, gossip, and which
+// gateways hold which proposals. Used by ConfigAgreement.
 #pragma once
 
 #include "cluster/agreement/agreement_codec.h"
@@ -12,7 +12,7 @@
 
 class Heartbeats {
 public:
-    // All of them outlive it.
+    // All references outlive the Heartbeats object.
     struct State {
         Membership& members;
         Committee& committee;
@@ -20,13 +20,14 @@
         const ReplicatedRecords& records;
         const ConfigTopics& topics;
     };
-    // `lease`: a committee statement older than two of them is not passed on.
+    // `lease`: committee statements older than two leases are not passed on.
     Heartbeats(const State& state, Duration lease) : state_(state), lease_(lease) {}
 
-    // A ping or ack to a member. Where this gateway has a seat, it makes its statement with it.
+    // Builds a ping or ack to a member. If this gateway is in the committee, the heartbeat states its current
+    // configuration.
     Message build(Timestamp now, MessageKind kind, int to, std::uint32_t sequence);
-    // True where it shows that the others took this gateway for gone. What it was told before may then be of
-    // a group that has gone on without it, so no statement made until now counts any more.
+    // True if the heartbeat shows that the others have declared this gateway gone. They may then have agreed
+    // on new versions without it, so all statements made up to now are discarded.
     bool apply(Timestamp now, const Message& message);
 
 private:
--- a/src/cluster/agreement/indirect_pings.h
+++ b/src/cluster/agreement/indirect_pings.h
@@ -1,5 +1,5 @@
-// Pings that this gateway makes on behalf of others: for whom each is, so that its answer can be reported to
-// that gateway under the sequence number it knows.
+// Tracks the pings that this gateway sends on behalf of others, so that each answer can be reported to the
+// requester under its own sequence number. Used by ConfigAgreement.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,22 @@
 
 class IndirectPings {
 public:
-    // Set in the sequence numbers of pings that no answer is awaited for by the membership itself.
+    // Set in the sequence numbers of pings whose acks Membership does not wait for.
     static constexpr std::uint32_t kSequenceFlag = 0x80000000U;
 
     struct Requester {
         int gateway = 0;
-        std::uint32_t sequence = 0;  // under which it awaits the answer
+        std::uint32_t sequence = 0;  // of the requester's own ping
     };
-    // The sequence number to ping under.
+    // Returns the sequence number for the ping.
     std::uint32_t begin(const Requester& requester) {
-        const std::uint32_t sequence = kSequenceFlag | (++last_ & ~kSequenceFlag);
+        const std::uint32_t sequence = kSequenceFlag | (++last_sequence_ & ~kSequenceFlag);
         pending_[sequence] = requester;
         if (pending_.size() > kMaxPending) pending_.erase(pending_.begin());
         return sequence;
     }
-    // An ack of this sequence number came: whom to tell, if it was one of these pings. Once for each.
+    // Call for each ack. Returns the requester to report to if the ack answers one of these pings, once per
+    // ping.
     std::optional<Requester> complete(std::uint32_t sequence) {
         const auto at = pending_.find(sequence);
         if (at == pending_.end()) return std::nullopt;
@@ -34,9 +35,9 @@
     }
 
 private:
-    static constexpr std::size_t kMaxPending = 64;  // the oldest are dropped
-    std::map<std::uint32_t, Requester> pending_;    // by our sequence number
-    std::uint32_t last_ = 0;
+    static constexpr std::size_t kMaxPending = 64;  // above this, the oldest is dropped
+    std::map<std::uint32_t, Requester> pending_;    // by this gateway's sequence number
+    std::uint32_t last_sequence_ = 0;
 };
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/membership.cpp
+++ b/src/cluster/agreement/membership.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// One ping in so many goes to a member that is taken for gone, so that the two sides of a healed partition
-// find each other again.
-constexpr std::uint64_t kPingGoneEvery = 4;
+// Every fourth ping goes to a member that is gone, so that the two sides of a healed partition find each
+// other again.
+constexpr std::uint64_t kPingsPerGonePing = 4;
 
-// A member that announced its leave is removed after so many suspicion timeouts.
-constexpr int kLeaveTimeouts = 4;
+// How long a member that announced its leave is kept, in suspicion timeouts.
+constexpr int kLeaveSuspicionTimeouts = 4;
 
 }  // namespace
 
@@ -27,19 +27,19 @@
 }
 
 int Membership::present_count() const {
-    return static_cast<int>(std::count_if(members_.begin(), members_.end(), [](const Member& one) {
-        return one.presence <= Presence::kSuspect;
+    return static_cast<int>(std::count_if(members_.begin(), members_.end(), [](const Member& state) {
+        return state.presence <= Presence::kSuspect;
     }));
 }
 
 void Membership::set_presence(Timestamp now, int number, Presence presence, Incarnation incarnation) {
-    Member& one = member(number);
-    if (one.presence != presence) one.since = now;
-    one.presence = presence;
-    one.incarnation = incarnation;
-    if (one.retransmissions <= 0) pending_gossip_.push_back(number);
-    // A logarithm of the group's size: enough for all to hear of it with a probability near one under loss.
-    one.retransmissions = 3 + 2 * static_cast<int>(std::ceil(std::log2(settings_.gateways + 1.0)));
+    Member& state = member(number);
+    if (state.presence != presence) state.since = now;
+    state.presence = presence;
+    state.incarnation = incarnation;
+    if (state.retransmissions <= 0) pending_gossip_.push_back(number);
+    // Logarithmic in the group's size, which reaches every member with a probability near 1 even under loss.
+    state.retransmissions = 3 + 2 * static_cast<int>(std::ceil(std::log2(settings_.gateways + 1.0)));
 }
 
 void Membership::set_own_presence(Presence presence) {
@@ -47,8 +47,8 @@
     if (own.presence != presence) set_presence(own.since, settings_.self, presence, own.incarnation);
 }
 
-// Against an earlier process of this gateway, or a verdict on this one, outliving what the gateway states
-// itself: the others would leave it out while it runs. It refutes with a higher incarnation.
+// Refutes gossip about an earlier process of this gateway, or that this one is suspect or gone, with a
+// higher incarnation. Otherwise the others would exclude this gateway while it runs.
 bool Membership::refute_if_needed(Timestamp now, const Gossip& gossip) {
     const Member& own = member(settings_.self);
     const bool newer_incarnation = gossip.incarnation > own.incarnation;
@@ -63,9 +63,9 @@
 bool Membership::apply_gossip(Timestamp now, const Gossip& gossip) {
     if (gossip.member < 0 || gossip.member >= settings_.gateways) return false;
     if (gossip.member == settings_.self) return refute_if_needed(now, gossip);
-    const Member& one = member(gossip.member);
-    if (gossip.incarnation < one.incarnation) return false;
-    if (gossip.incarnation == one.incarnation && gossip.presence <= one.presence) return false;
+    const Member& state = member(gossip.member);
+    if (gossip.incarnation < state.incarnation) return false;
+    if (gossip.incarnation == state.incarnation && gossip.presence <= state.presence) return false;
     set_presence(now, gossip.member, gossip.presence, gossip.incarnation);
     return true;
 }
@@ -75,35 +75,35 @@
 }
 
 void Membership::on_ack(int from, std::uint32_t sequence) {
-    const auto pending =
-        std::find_if(pending_pings_.begin(), pending_pings_.end(),
-                     [&](const PendingPing& one) { return one.target == from && one.sequence == sequence; });
+    const auto pending = std::find_if(
+        pending_pings_.begin(), pending_pings_.end(),
+        [&](const PendingPing& ping) { return ping.target == from && ping.sequence == sequence; });
     if (pending == pending_pings_.end()) return;
     pending_pings_.erase(pending);
     local_health_score_ = std::max(0, local_health_score_ - 1);
 }
 
 std::vector<Gossip> Membership::gossip_for(int to, std::size_t limit) {
-    std::vector<Gossip> chosen;
+    std::vector<Gossip> selected;
     const auto add = [&](int number) {
-        const Member& one = member(number);
-        chosen.push_back({number, one.presence, one.incarnation});
+        const Member& state = member(number);
+        selected.push_back({number, state.presence, state.incarnation});
     };
-    // The receiver alone can refute that it is suspect or gone.
+    // Only the receiver itself can refute that it is suspect or gone.
     const bool receiver_suspected =
         to != settings_.self && member(to).incarnation > 0 && member(to).presence >= Presence::kSuspect;
     if (receiver_suspected && limit > 0) add(to);
     std::shuffle(pending_gossip_.begin(), pending_gossip_.end(), random_);
-    for (auto next = pending_gossip_.begin(); next != pending_gossip_.end() && chosen.size() < limit;) {
+    for (auto next = pending_gossip_.begin(); next != pending_gossip_.end() && selected.size() < limit;) {
         if (!(receiver_suspected && *next == to)) add(*next);
         const bool done = --member(*next).retransmissions <= 0;
         next = done ? pending_gossip_.erase(next) : std::next(next);
     }
-    return chosen;
+    return selected;
 }
 
-// -1 where none is gone.
-int Membership::random_gone_member() {
+// Returns a random member that is gone; -1 if there is none.
+int Membership::select_gone_member() {
     std::vector<int> gone;
     for (int number = 0; number < settings_.gateways; ++number) {
         if (number != settings_.self && presence(number) == Presence::kGone) gone.push_back(number);
@@ -111,16 +111,17 @@
     return gone.empty() ? -1 : gone[random_() % gone.size()];
 }
 
-// Each present member once a round, in a random order; from time to time one that is gone. -1: none.
-int Membership::next_ping_target() {
-    ++pings_chosen_;
-    const auto alone = [&] {
-        return std::none_of(members_.begin(), members_.end(), [&](const Member& one) {
-            return &one != &member(settings_.self) && one.presence != Presence::kGone;
+// Selects each member that is not gone once per round, in random order, and at intervals one that is gone.
+// Returns -1 if there is none.
+int Membership::select_ping_target() {
+    ++targets_selected_;
+    const auto is_alone = [&] {
+        return std::none_of(members_.begin(), members_.end(), [&](const Member& state) {
+            return &state != &member(settings_.self) && state.presence != Presence::kGone;
         });
     };
-    if (pings_chosen_ % kPingGoneEvery == 0 || alone()) {
-        if (const int gone = random_gone_member(); gone >= 0) return gone;
+    if (targets_selected_ % kPingsPerGonePing == 0 || is_alone()) {
+        if (const int gone = select_gone_member(); gone >= 0) return gone;
     }
     for (int attempt = 0; attempt < 2; ++attempt) {
         while (!ping_round_.empty()) {
@@ -151,18 +152,19 @@
 void Membership::check_pending_pings(Timestamp now, std::vector<Ping>& pings) {
     for (auto pending = pending_pings_.begin(); pending != pending_pings_.end();) {
         const Duration waited = now - pending->sent_at;
-        if (!pending->indirect && waited >= scaled(settings_.ack_timeout)) {
+        if (!pending->indirect && waited >= scale_timeout(settings_.ack_timeout)) {
             pending->indirect = true;
             add_indirect_pings(*pending, pings);
         }
-        if (!pending->indirect || waited < scaled(settings_.ack_timeout + settings_.indirect_ack_timeout)) {
+        if (!pending->indirect ||
+            waited < scale_timeout(settings_.ack_timeout + settings_.indirect_ack_timeout)) {
             ++pending;
             continue;
         }
-        const Member& one = member(pending->target);
-        if (one.presence < Presence::kSuspect) {
-            set_presence(now, pending->target, Presence::kSuspect, one.incarnation);
-            // No answer may as well mean that this gateway receives nothing.
+        const Member& state = member(pending->target);
+        if (state.presence < Presence::kSuspect) {
+            set_presence(now, pending->target, Presence::kSuspect, state.incarnation);
+            // The cause may also be that this gateway receives no datagrams.
             local_health_score_ = std::min(kMaxLocalHealthScore, local_health_score_ + 1);
         }
         pending = pending_pings_.erase(pending);
@@ -171,13 +173,13 @@
 
 void Membership::remove_timed_out_members(Timestamp now) {
     for (int number = 0; number < settings_.gateways; ++number) {
-        const Member& one = member(number);
-        const Duration time = now - one.since;
+        const Member& state = member(number);
+        const Duration elapsed = now - state.since;
         const bool suspect_too_long =
-            one.presence == Presence::kSuspect && time >= scaled(settings_.suspicion_timeout);
-        const bool has_left = one.presence == Presence::kLeaving && number != settings_.self &&
-                              time >= kLeaveTimeouts * settings_.suspicion_timeout;
-        if (suspect_too_long || has_left) set_presence(now, number, Presence::kGone, one.incarnation);
+            state.presence == Presence::kSuspect && elapsed >= scale_timeout(settings_.suspicion_timeout);
+        const bool has_left = state.presence == Presence::kLeaving && number != settings_.self &&
+                              elapsed >= kLeaveSuspicionTimeouts * settings_.suspicion_timeout;
+        if (suspect_too_long || has_left) set_presence(now, number, Presence::kGone, state.incarnation);
     }
 }
 
@@ -187,7 +189,7 @@
     remove_timed_out_members(now);
     if (now < next_ping_at_) return pings;
     next_ping_at_ = std::max(next_ping_at_ + settings_.ping_interval, now + settings_.ping_interval / 2);
-    if (const int target = next_ping_target(); target >= 0) {
+    if (const int target = select_ping_target(); target >= 0) {
         pings.push_back({target, target, ++last_sequence_});
         pending_pings_.push_back({target, last_sequence_, now, false});
     }
--- a/src/cluster/agreement/proposal_holders.h
+++ b/src/cluster/agreement/proposal_holders.h
@@ -1,5 +1,5 @@
-// Which gateways are known to hold the same proposals as this one. It is exchanged as a bitmap in heartbeats,
-// so that knowledge of it spreads as fast as gossip.
+// Tracks which gateways are known to hold the same proposals as this one. Heartbeats carry it as a bitmap, so
+// that it spreads as fast as gossip. Used by TopicAgreement, ActivationDecider and Heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,8 @@
 public:
     ProposalHolders(int gateways, int self) : self_(self), holds_(static_cast<std::size_t>(gateways)) {}
 
-    // What this gateway holds, as a hash (0: nothing). Where it changed, nothing is known of the others.
+    // Sets the hash of the proposals that this gateway holds (0: none). A change clears what is known about
+    // the other gateways.
     void set_own(std::uint32_t proposal_hash) {
         if (proposal_hash == hash_) return;
         hash_ = proposal_hash;
@@ -21,9 +22,10 @@
     }
     std::uint32_t hash() const { return hash_; }
     bool holds(int gateway) const { return hash_ != 0 && holds_[static_cast<std::size_t>(gateway)]; }
+    // Call when a gateway is gone: it no longer counts as a holder.
     void remove(int gateway) { holds_[static_cast<std::size_t>(gateway)] = false; }
 
-    // A gateway's heartbeat: what it holds, and whom it knows to hold the same.
+    // Applies a received heartbeat: the hash of the sender's proposals and its bitmap of holders.
     void merge(int from, std::uint32_t proposal_hash, const std::string& bitmap) {
         if (proposal_hash == 0 || proposal_hash != hash_) return;
         holds_[static_cast<std::size_t>(from)] = true;
@@ -31,7 +33,7 @@
             if ((bitmap[i / 8] >> (i % 8) & 1) != 0) holds_[i] = true;
         }
     }
-    // Bit i%8 of byte i/8 for gateway i; empty where this gateway holds nothing.
+    // Bit i % 8 of byte i / 8 is set if gateway i is a holder; empty if this gateway holds nothing.
     std::string bitmap() const {
         if (hash_ == 0) return {};
         std::string bits((holds_.size() + 7) / 8, '\0');
--- a/src/cluster/agreement/replicated_records.cpp
+++ b/src/cluster/agreement/replicated_records.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Covers the key and the whole stamp: two sets that differ in any of these differ in their hashes.
+// Covers the key and the whole stamp, so that sets that differ in either have different hashes.
 std::uint64_t record_hash(const Record& record) {
     const Stamp stamp = record.stamp();
     return hash_of(record.key, stamp.number * 2 + (stamp.deleted ? 1 : 0)) ^
@@ -101,15 +101,15 @@
     bytes_ = 0;
 }
 
-void ReplicatedRecords::for_each(const std::function<void(const Record&)>& act) const {
-    for (const auto& [key, record] : records_) act(record);
+void ReplicatedRecords::for_each(const std::function<void(const Record&)>& visit) const {
+    for (const auto& [key, record] : records_) visit(record);
 }
 
 void ReplicatedRecords::for_each_with_prefix(const std::string& prefix,
-                                             const std::function<void(const Record&)>& act) const {
+                                             const std::function<void(const Record&)>& visit) const {
     for (auto at = records_.lower_bound(prefix);
          at != records_.end() && at->first.compare(0, prefix.size(), prefix) == 0; ++at) {
-        act(at->second);
+        visit(at->second);
     }
 }
 
--- a/src/cluster/agreement/replicated_records.h
+++ b/src/cluster/agreement/replicated_records.h
@@ -1,7 +1,7 @@
-// Records that all gateways of a group come to hold alike: a key, a version stamp, and a value or a
-// tombstone. Of two records of one key the one with the later stamp stands; no clock takes part in that
-// order. Merging is idempotent and commutative, so loss, repetition, reordering and old datagrams change
-// nothing in the end. No I/O and no clock.
+// A store of records that converges on all gateways of a group. A record has a key, a version stamp, and a
+// value or a tombstone. Of two records with one key, the one with the higher stamp wins; the order does not
+// depend on clocks. Merging is idempotent and commutative, so lost, repeated, reordered and old datagrams do
+// not change the final state. Filled by AntiEntropy, ConfigAgreement and TopicAgreement. No I/O and no clock.
 #pragma once
 
 #include <array>
@@ -19,8 +19,8 @@
 using policy::Duration;
 using policy::Timestamp;
 
-// Orders two records of one key: by number, then a tombstone after a value, then by the hash of origin and
-// value, which makes the order total.
+// Orders two records with one key: by number, then a tombstone above a value, then by a hash of origin,
+// expiry and value, which makes the order total.
 struct Stamp {
     std::uint64_t number = 0;
     bool deleted = false;
@@ -36,10 +36,10 @@
 
 struct Record {
     std::string key;
-    std::uint64_t number = 0;  // grows with each change of the key
+    std::uint64_t number = 0;  // increases with each change of the record
     int origin = 0;            // the gateway that wrote it
     bool deleted = false;      // a tombstone
-    Timestamp expires_at{};    // Unix time from which no gateway keeps it; 0: it does not expire
+    Timestamp expires_at{};    // Unix time from which no gateway keeps it; 0: never
     std::string value;
 
     Stamp stamp() const;
@@ -58,24 +58,25 @@
     ReplicatedRecords() : ReplicatedRecords(Limits{}) {}
 
     enum class MergeResult {
-        kApplied,   // it is held now
-        kNotNewer,  // what is held stands
-        kRejected,  // expired, too large, or over the limits
+        kApplied,   // stored
+        kNotNewer,  // the record held here has the same or a higher stamp
+        kRejected,  // invalid key, expired, too large, or over the limits
     };
     MergeResult merge(Timestamp now, Record record);
-    // Null where there is none. Pointers stay valid until the record is merged over or erased.
+    // Null if there is none. Pointers stay valid until the record is replaced or erased.
     const Record* find(const std::string& key) const;
-    // By the short hash of its key; the first in key order where two keys collide.
+    // Finds a record by the short hash of its key; if two keys collide, the first in key order.
     const Record* find_by_short_hash(std::uint32_t key_hash) const;
-    // Drops what has expired; true where there was any.
+    // Erases expired records; true if there were any.
     bool remove_expired(Timestamp now);
     void erase(const std::string& key);
     void clear();
     // In key order.
-    void for_each(const std::function<void(const Record&)>& act) const;
-    void for_each_with_prefix(const std::string& prefix, const std::function<void(const Record&)>& act) const;
+    void for_each(const std::function<void(const Record&)>& visit) const;
+    void for_each_with_prefix(const std::string& prefix,
+                              const std::function<void(const Record&)>& visit) const;
 
-    // Equal sets of records have equal hashes, in whatever order they came.
+    // Equal sets of records have equal hashes, regardless of the order of merging.
     std::uint64_t hash() const { return hash_; }
     static constexpr std::size_t kBuckets = 16;
     const std::array<std::uint32_t, kBuckets>& bucket_hashes() const { return bucket_hashes_; }
@@ -84,10 +85,10 @@
 
     std::size_t size() const { return records_.size(); }
     std::size_t bytes() const { return bytes_; }
-    std::uint64_t rejected() const { return rejected_; }  // records for which there was no room
+    std::uint64_t rejected() const { return rejected_; }  // records rejected because of the limits
 
 private:
-    // The hashes are XORs over the records, so adding and removing one are the same operation.
+    // Adds a record to the hashes or removes it: both are the same operation, since the hashes are XORs.
     void toggle_in_hashes(const Record& record);
 
     Limits limits_;
--- a/src/cluster/agreement/saved_state.cpp
+++ b/src/cluster/agreement/saved_state.cpp
@@ -20,7 +20,7 @@
 
 Timestamp time_of(const json& value) { return std::chrono::milliseconds(value.get<std::int64_t>()); }
 
-// These throw json::exception on what is not of their form.
+// The read_ functions throw json::exception on invalid input.
 SavedTopic read_topic(const json& from) {
     SavedTopic topic;
     topic.name = from.at(0).get<std::string>();
@@ -46,9 +46,9 @@
 std::string encode_state(Timestamp now, Timestamp last_contact, const ReplicatedRecords& records,
                          const std::map<std::string, Topic>& topics) {
     json saved_records = json::array(), saved_topics = json::array();
-    records.for_each([&](const Record& one) {
-        saved_records.push_back({one.key, one.number, one.origin, one.deleted, one.expires_at / 1ms,
-                                 json::binary(bytes_of(one.value))});
+    records.for_each([&](const Record& record) {
+        saved_records.push_back({record.key, record.number, record.origin, record.deleted,
+                                 record.expires_at / 1ms, json::binary(bytes_of(record.value))});
     });
     for (const auto& [name, topic] : topics) {
         saved_topics.push_back({name, topic.active.number, topic.active.digest, topic.activated_at / 1ms,
@@ -62,17 +62,18 @@
 
 Result<SavedState> decode_state(const std::string& bytes) {
     const json saved = read_cbor(bytes);
-    if (!saved.is_object()) return fail(ErrorCode::kDataLoss, "it is no saved state");
+    if (!saved.is_object()) return fail(ErrorCode::kDataLoss, "not a saved agreement state");
     try {
         SavedState state;
-        for (const json& one : saved.at("topics")) {
-            SavedTopic topic = read_topic(one);
+        for (const json& saved_topic : saved.at("topics")) {
+            SavedTopic topic = read_topic(saved_topic);
             if (topic.active.number > 0 && hash_of(topic.value) != topic.active.digest) {
-                return fail(ErrorCode::kDataLoss, "a topic's content is not what its digest says");
+                return fail(ErrorCode::kDataLoss, "content of a topic does not match its digest");
             }
             state.topics.push_back(std::move(topic));
         }
-        for (const json& one : saved.at("records")) state.records.push_back(read_record(one));
+        for (const json& saved_record : saved.at("records"))
+            state.records.push_back(read_record(saved_record));
         state.last_contact = time_of(saved.at("in_touch_ms"));
         return state;
     } catch (const json::exception& error) {
--- a/src/cluster/agreement/saved_state.h
+++ b/src/cluster/agreement/saved_state.h
@@ -1,4 +1,5 @@
-// What a gateway keeps of the agreement through a crash, and its encoding. The encoding is a stored format.
+// The part of the agreement's state that survives a crash, and its encoding. The encoding is the format of
+// the state file. Used by ConfigAgreement.
 #pragma once
 
 #include <map>
@@ -19,15 +20,15 @@
 };
 
 struct SavedState {
-    Timestamp last_contact{};  // when the lease last held
+    Timestamp last_contact{};  // when the gateway last held a lease
     std::vector<Record> records;
     std::vector<SavedTopic> topics;
 };
 
-// `now`: when it is written.
+// `now`: the time of encoding.
 std::string encode_state(Timestamp now, Timestamp last_contact, const ReplicatedRecords& records,
                          const std::map<std::string, Topic>& topics);
-// kDataLoss where it is no such state, or a topic's content does not have the digest of its version.
+// kDataLoss if the bytes are not a valid state, or if a topic's content does not match its version's digest.
 Result<SavedState> decode_state(const std::string& bytes);
 
 }  // namespace linnetlead::agreement
--- a/src/cluster/agreement/topic_agreement.cpp
+++ b/src/cluster/agreement/topic_agreement.cpp
@@ -16,28 +16,28 @@
 constexpr std::uint64_t kMaxVersionNumber = 9'999'999'999;
 
 CounterVoting::Settings voting_settings(const AgreementSettings& settings) {
-    CounterVoting::Settings made;
-    made.gateways = settings.gateways;
-    made.slot = settings.counter_slot;
-    made.read_delay = settings.max_clock_skew;
-    made.lease = kCounterLeaseSlots * settings.counter_slot;
-    return made;
+    CounterVoting::Settings result;
+    result.gateways = settings.gateways;
+    result.slot = settings.counter_slot;
+    result.read_delay = settings.max_clock_skew;
+    result.lease = kCounterLeaseSlots * settings.counter_slot;
+    return result;
 }
 
-// The counter as CounterVoting asks it.
+// Adapts the owner's `count` callback to the interface that CounterVoting uses.
 class CallbackCounter final : public Counting {
 public:
     using Count = std::function<void(const std::string&, double, Duration)>;
     explicit CallbackCounter(const Count& count) : count_(count) {}
-    void count(const std::string& name, double amount, Duration life) override {
-        if (count_) count_(name, amount, life);
+    void count(const std::string& name, double amount, Duration lifetime) override {
+        if (count_) count_(name, amount, lifetime);
     }
 
 private:
     const Count& count_;
 };
 
-// A decision's record: version number, digest, and activation time in Unix milliseconds.
+// The value of a decision's record: version number, digest, and activation time in Unix milliseconds.
 std::string encode_decision(const ActivationDecision& decision) {
     return write_cbor(json{decision.version.number, decision.version.digest,
                            static_cast<std::uint64_t>(decision.at / 1ms)});
@@ -46,7 +46,8 @@
 std::optional<ActivationDecision> decode_decision(const std::string& value) {
     const json read = read_cbor(value);
     if (!read.is_array() || read.size() != 3) return std::nullopt;
-    if (!std::all_of(read.begin(), read.end(), [](const json& one) { return one.is_number_unsigned(); })) {
+    if (!std::all_of(read.begin(), read.end(),
+                     [](const json& field) { return field.is_number_unsigned(); })) {
         return std::nullopt;
     }
     return ActivationDecision{{read[0].get<std::uint64_t>(), read[1].get<std::uint64_t>()},
@@ -61,12 +62,12 @@
       decider_(context.settings, context.members, context.committee, holders_),
       voting_(voting_settings(context.settings)) {}
 
-void TopicAgreement::event(Timestamp now, EventKind kind, const std::string& text) const {
+void TopicAgreement::report_event(Timestamp now, EventKind kind, const std::string& text) const {
     if (context_.callbacks.event) context_.callbacks.event({now, kind, text});
 }
 
 void TopicAgreement::tick(Timestamp now) {
-    activate_what_is_due(now);
+    activate_due_versions(now);
     if (context_.settings.transport == Transport::kCounter) vote_on_counter(now);
     if (decider_.confirm_activations(now, topics_)) refresh_proposals(now);
     decide(now);
@@ -74,15 +75,14 @@
 
 // ---- Proposals ------------------------------------------------------------------------------------------
 
-// Why a version may not follow the one that is active or decided.
 Status TopicAgreement::check_successor(Version version, Version known) {
     if (version.number < known.number) {
         return fail(ErrorCode::kFailedPrecondition, "version " + to_string(version) + " is older than " +
-                                                        to_string(known) + ", which stands");
+                                                        to_string(known) + ", which is active or decided");
     }
     if (version.number == known.number) {
         return fail(ErrorCode::kAlreadyExists, "version " + to_string(version) + " has other content than " +
-                                                   to_string(known) + ", which stands");
+                                                   to_string(known) + ", which is active or decided");
     }
     return {};
 }
@@ -92,7 +92,7 @@
     if (name.empty() || name.size() > kMaxTopicBytes || name.find('#') != std::string::npos || number == 0 ||
         number > kMaxVersionNumber || value.size() > kMaxValueBytes) {
         return fail(ErrorCode::kInvalidArgument,
-                    "it cannot be proposed: its number or its size is beyond what there is room for");
+                    "the topic name, the version number or the size of the content is invalid");
     }
     const Version version{number, hash_of(value)};
     const Topic& topic = topics_[name];
@@ -105,11 +105,11 @@
     record.value = std::move(value);
     const std::string key = record.key;
     if (context_.records.merge(now, std::move(record)) == ReplicatedRecords::MergeResult::kRejected) {
-        return fail(ErrorCode::kResourceExhausted, "there is no room for it");
+        return fail(ErrorCode::kResourceExhausted, "no room left for another proposal");
     }
-    change_count_ += 2;  // the proposal, and the record that carries it
+    change_count_ += 2;  // the proposal and its record
     context_.anti_entropy.schedule_gossip(key);
-    event(now, EventKind::kProposed, name + " " + to_string(version));
+    report_event(now, EventKind::kProposed, name + " " + to_string(version));
     on_record_stored(now, *context_.records.find(key));
     return {};
 }
@@ -129,9 +129,9 @@
 void TopicAgreement::on_new_proposal(Timestamp now, const Record& record, const ProposalKey& key) {
     if (hash_of(record.value) != key.version.digest) return context_.records.erase(record.key);
     Topic& topic = topics_[key.topic];
-    const bool unchecked = topic.checked.emplace(version_hash(key.version), false).second;
-    if (unchecked && context_.callbacks.check) {
-        const std::string value = record.value;  // the record may be gone when the check is over
+    const bool is_unchecked = topic.checked.emplace(version_hash(key.version), false).second;
+    if (is_unchecked && context_.callbacks.check) {
+        const std::string value = record.value;  // copied: the callback may erase the record
         context_.callbacks.check(key.topic, key.version, value);
     }
     refresh_proposals(now);
@@ -141,14 +141,14 @@
                                       bool can_act_on_it) {
     topics_[name].checked[version_hash(version)] = can_act_on_it;
     if (!can_act_on_it) {
-        event(now, EventKind::kRefused, name + " " + to_string(version) + " cannot be acted on here");
+        report_event(now, EventKind::kRefused, name + " " + to_string(version) + " cannot be acted on here");
     }
     refresh_proposals(now);
 }
 
 void TopicAgreement::refresh_proposals(Timestamp now) {
     for (const std::string& conflict : topics_.refresh_candidates(now, context_.records)) {
-        event(now, EventKind::kConflict, conflict);
+        report_event(now, EventKind::kConflict, conflict);
     }
     holders_.set_own(topics_.proposal_hash());
 }
@@ -172,7 +172,7 @@
         return;
     }
     if (result == ConfigTopics::DecisionResult::kNew) {
-        event(now, EventKind::kDecided, topic + " " + to_string(decision->version));
+        report_event(now, EventKind::kDecided, topic + " " + to_string(decision->version));
     }
     refresh_proposals(now);
 }
@@ -190,7 +190,7 @@
                    !decider_.members_without_proposal(topics_).empty())) {
         return;
     }
-    const ConfigTopics::Versions candidates = topics_.candidates();  // a decision changes them
+    const ConfigTopics::Versions candidates = topics_.candidates();  // copied: a decision changes them
     for (const auto& [name, version] : candidates) {
         const Timestamp at = alone ? now : now + decider_.activation_delay();
         Record record;
@@ -207,13 +207,13 @@
     }
 }
 
-void TopicAgreement::activate_what_is_due(Timestamp now) {
+void TopicAgreement::activate_due_versions(Timestamp now) {
     for (auto& [name, topic] : topics_.all()) {
         if (!topic.decision || topic.decision->at > now) continue;
         const Version version = topic.decision->version;
         const Record* record = context_.records.find(proposal_key(name, version));
         const auto checked = topic.checked.find(version_hash(version));
-        // Where its content is not here or cannot be acted on, this gateway stays fenced.
+        // Without the content, or if it cannot act on it, this gateway stays fenced.
         if (!record || checked == topic.checked.end() || !checked->second) continue;
         activate(now, name, topic, record->value);
     }
@@ -228,18 +228,18 @@
     ++change_count_;
     if (context_.settings.transport == Transport::kCounter)
         voting_.on_activated(topics_.fingerprint().active);
-    event(now, EventKind::kActivated, name + " " + to_string(decision.version));
+    report_event(now, EventKind::kActivated, name + " " + to_string(decision.version));
     if (context_.callbacks.activated) context_.callbacks.activated(name, decision.version, value);
     refresh_proposals(now);
 }
 
-// All gateways on which this version is active drop the same records.
+// Every gateway on which this version is active erases the same records.
 void TopicAgreement::erase_superseded_proposals(const std::string& topic, Version active) {
     std::vector<std::string> superseded;
     context_.records.for_each_with_prefix(proposal_prefix(topic), [&](const Record& record) {
         const auto key = parse_proposal_key(record.key);
-        const bool older = key && key->version.number <= active.number && key->version != active;
-        if (older) superseded.push_back(record.key);
+        const bool is_superseded = key && key->version.number <= active.number && key->version != active;
+        if (is_superseded) superseded.push_back(record.key);
     });
     for (const std::string& key : superseded) context_.records.erase(key);
 }
@@ -247,7 +247,7 @@
 void TopicAgreement::report_restored(Timestamp now) {
     for (const auto& [name, topic] : topics_.all()) {
         if (topic.active.number == 0) continue;
-        event(now, EventKind::kRestored, name + " " + to_string(topic.active));
+        report_event(now, EventKind::kRestored, name + " " + to_string(topic.active));
         if (context_.callbacks.activated) context_.callbacks.activated(name, topic.active, topic.value);
     }
 }
@@ -267,7 +267,7 @@
     if (!at) return true;
     for (const auto& [topic, version] : topics_.candidates()) {
         topics_.set_decision(topic, {version, *at});
-        event(now, EventKind::kDecided, topic + " " + to_string(version));
+        report_event(now, EventKind::kDecided, topic + " " + to_string(version));
     }
     refresh_proposals(now);
     return true;
--- a/src/cluster/agreement/topic_agreement.h
+++ b/src/cluster/agreement/topic_agreement.h
@@ -1,7 +1,7 @@
-// Takes the topics from a proposal to an active version: proposals are records that spread like all others,
-// each gateway checks whether it can act on one, the decider waits until all members that are up hold it and
-// then sets the activation time, and every gateway activates it at that time. Where gateways reach only the
-// shared counter, the votes counted there take the decider's place.
+// Brings topics from a proposal to an active version. Proposals are replicated as records. Each gateway
+// checks whether it can act on a proposal. The decider waits until all present members hold it and then
+// decides the activation time, at which every gateway activates it. If gateways can only reach the shared
+// counter, votes on the counter replace the decider. Used by ConfigAgreement.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
 
 class TopicAgreement {
 public:
-    // All of them outlive it.
+    // All references outlive the TopicAgreement.
     struct Context {
         const AgreementSettings& settings;
         const AgreementCallbacks& callbacks;
@@ -37,16 +37,16 @@
     // See ConfigAgreement.
     Status propose(Timestamp now, const std::string& topic, std::uint64_t number, std::string value);
     void set_check_result(Timestamp now, const std::string& topic, Version version, bool can_act_on_it);
-    // Activates, votes and decides what is due.
+    // Activates decided versions that are due, votes on the counter and decides.
     void tick(Timestamp now);
-    // False where the record is not of a topic.
+    // False if the record does not belong to a topic.
     bool on_record_stored(Timestamp now, const Record& record);
-    // True where a slot has been read, and the lease may be another.
+    // True if a slot has been read, which may change the lease.
     bool on_counter_answer(Timestamp now, const std::string& name, bool ok, double total);
-    // What is proposed is found again, after records were dropped.
+    // Recomputes the candidates; call after records were erased.
     void refresh_proposals(Timestamp now);
     void restore_topic(const std::string& name, Topic topic) { topics_.restore(name, std::move(topic)); }
-    // Reports all that is active from a saved state.
+    // Reports the restored versions as active to the owner.
     void report_restored(Timestamp now);
 
     const ConfigTopics& topics() const { return topics_; }
@@ -55,16 +55,17 @@
     const ActivationDecider& decider() const { return decider_; }
     bool may_decide(Timestamp now) const;
     std::uint64_t highest_proposed_number(const std::string& topic) const;
-    // Grows with each change to what is saved of the topics.
+    // Increases with each change to the saved state of the topics.
     std::uint64_t change_count() const { return change_count_; }
 
 private:
-    void event(Timestamp now, EventKind kind, const std::string& text) const;
+    void report_event(Timestamp now, EventKind kind, const std::string& text) const;
+    // Fails if a version may not follow the one that is active or decided.
     static Status check_successor(Version version, Version known);
     void on_new_proposal(Timestamp now, const Record& record, const ProposalKey& key);
     void on_new_decision(Timestamp now, const Record& record, const std::string& topic);
     void decide(Timestamp now);
-    void activate_what_is_due(Timestamp now);
+    void activate_due_versions(Timestamp now);
     void activate(Timestamp now, const std::string& name, Topic& topic, std::string value);
     void erase_superseded_proposals(const std::string& topic, Version active);
     void vote_on_counter(Timestamp now);
