--- a/tests/accord_test.cpp
+++ b/tests/accord_test.cpp
@@ -1,5 +1,5 @@
-// The accord: its parts by properties, and the whole in virtual time under faults, each at every numbered
-// point.
+// Tests of the config agreement: its parts, some by properties, and complete simulated groups in virtual time
+// with a fault injected at each numbered point in turn.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -19,7 +19,7 @@
 
 constexpr Timestamp kStart = std::chrono::hours(500000);
 
-Record drawn_record() {
+Record generate_record() {
     Record record;
     record.key = "k" + std::to_string(*rc::gen::inRange(0, 6));
     record.number = *rc::gen::inRange<std::uint64_t>(1, 4);
@@ -29,9 +29,10 @@
     return record;
 }
 
-RC_GTEST_PROP(AgreementRecords, MergingInAnyOrderAndAnyNumberOfTimesEndsAlike, ()) {
+// Merging is idempotent and commutative.
+RC_GTEST_PROP(AgreementRecords, MergeConvergesInAnyOrderAndWithRepetition, ()) {
     std::vector<Record> all;
-    for (int i = *rc::gen::inRange(0, 20); i > 0; --i) all.push_back(drawn_record());
+    for (int i = *rc::gen::inRange(0, 20); i > 0; --i) all.push_back(generate_record());
     ReplicatedRecords one, other;
     for (const Record& record : all) one.merge(kStart, record);
     std::vector<Record> shuffled = all;
@@ -49,7 +50,8 @@
     });
 }
 
-RC_GTEST_PROP(AgreementWire, WhatIsWrittenIsReadAndWhatIsSpoiltIsNothingOrAMessage, ()) {
+// Guards against datagrams over the size limit, and against crashes on damaged ones.
+RC_GTEST_PROP(AgreementCodec, DecodesWhatItEncodesAndSurvivesDamagedDatagrams, ()) {
     Message message;
     message.kind = static_cast<MessageKind>(*rc::gen::inRange(0, 11));
     message.from = *rc::gen::inRange(0, 1000);
@@ -102,11 +104,11 @@
     if (message.kind == MessageKind::kPing)
         RC_ASSERT(back->heartbeat.gossip.size() == message.heartbeat.gossip.size());
     bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] ^= static_cast<char>(*rc::gen::inRange(1, 256));
-    (void)decode(bytes);  // under the sanitizers: no crash, no read beyond
+    (void)decode(bytes);  // the sanitizers detect invalid reads
     (void)decode(std::string_view(bytes).substr(0, *rc::gen::inRange<std::size_t>(0, bytes.size())));
 }
 
-TEST(AgreementMembers, OfTwoWordsTheLaterStandsAndALivingOneContradictsItsDeath) {
+TEST(AgreementMembership, NewerGossipWinsAndAMemberRefutesThatItIsGone) {
     Membership::Settings settings;
     settings.gateways = 3;
     settings.incarnation = 100;
@@ -115,306 +117,321 @@
     EXPECT_EQ(members.presence(1), Presence::kAlive);
     EXPECT_TRUE(members.apply_gossip(kStart, {1, Presence::kSuspect, 50}));
     EXPECT_FALSE(members.apply_gossip(kStart, {1, Presence::kAlive, 50}))
-        << "a suspicion is outdone by a new word alone";
+        << "only a higher incarnation overrides a suspicion";
     EXPECT_TRUE(members.apply_gossip(kStart, {1, Presence::kAlive, 51}));
-    EXPECT_FALSE(members.apply_gossip(kStart, {1, Presence::kGone, 50})) << "of a life that is over";
+    EXPECT_FALSE(members.apply_gossip(kStart, {1, Presence::kGone, 50})) << "of an earlier incarnation";
     EXPECT_TRUE(members.apply_gossip(kStart, {1, Presence::kGone, 51}));
-    EXPECT_TRUE(members.apply_gossip(kStart, {1, Presence::kJoining, 90})) << "a new life";
+    EXPECT_TRUE(members.apply_gossip(kStart, {1, Presence::kJoining, 90})) << "a higher incarnation";
     EXPECT_TRUE(members.apply_gossip(kStart, {0, Presence::kGone, 100}));
     EXPECT_EQ(members.incarnation(), 101u);
     EXPECT_EQ(members.times_declared_gone(), 1u);
     EXPECT_EQ(members.presence(0), Presence::kJoining);
 }
 
-TEST(AgreementCouncil, SpeaksOnlyByAMajorityWithinTheLease) {
-    Committee council(300, 2s, 350ms);
-    EXPECT_EQ(council.size(), 7);
-    const ConfigFingerprint mine{1, 2}, other{3, 4}, planned{9, 2};
-    for (int place = 0; place < 3; ++place) council.record_statement(kStart, place, {kStart, mine});
-    EXPECT_FALSE(council.lease_end(kStart, mine));
-    council.record_statement(kStart, 3, {kStart - 1s, planned});
-    EXPECT_EQ(council.lease_end(kStart, mine), kStart + 1s) << "by the oldest word that it needs";
-    EXPECT_FALSE(council.lease_end(kStart + 1s, mine));
-    EXPECT_FALSE(council.record_statement(kStart, 4, {kStart + 1s, mine})) << "from ahead of the clock";
-    EXPECT_FALSE(council.record_statement(kStart, 0, {kStart - 1s, other})) << "an older word, late";
-    council.discard_statements_until(kStart);
-    EXPECT_FALSE(council.lease_end(kStart, mine));
+TEST(AgreementCommittee, GrantsALeaseOnlyByAMajorityWithinTheLease) {
+    Committee committee(300, 2s, 350ms);
+    EXPECT_EQ(committee.size(), 7);
+    const ConfigFingerprint own{1, 2}, other{3, 4}, same_planned{9, 2};
+    for (int seat = 0; seat < 3; ++seat) committee.record_statement(kStart, seat, {kStart, own});
+    EXPECT_FALSE(committee.lease_end(kStart, own));
+    committee.record_statement(kStart, 3, {kStart - 1s, same_planned});
+    EXPECT_EQ(committee.lease_end(kStart, own), kStart + 1s) << "by the oldest statement of the majority";
+    EXPECT_FALSE(committee.lease_end(kStart + 1s, own));
+    EXPECT_FALSE(committee.record_statement(kStart, 4, {kStart + 1s, own}))
+        << "ahead of the clock by more than the skew";
+    EXPECT_FALSE(committee.record_statement(kStart, 0, {kStart - 1s, other}))
+        << "older than the stored statement";
+    committee.discard_statements_until(kStart);
+    EXPECT_FALSE(committee.lease_end(kStart, own));
 }
 
-// ---- The whole, in virtual time -------------------------------------------------------------------------
+// ---- Simulated groups in virtual time -------------------------------------------------------------------
 
-bool all_have(SimulatedCluster& fleet, std::uint64_t number, Duration within) {
-    return fleet.run_until([&] { return fleet.settled(number); }, within);
+// Runs until all gateways have activated the version, hold the same records and are not fenced; false on a
+// timeout.
+bool all_activate(SimulatedCluster& cluster, std::uint64_t number, Duration within) {
+    return cluster.run_until([&] { return cluster.settled(number); }, within);
 }
 
-Duration stated(SimulatedCluster& fleet) { return fleet.agreement(0).longest_contradiction(); }
+// The guaranteed limit on the time for which two gateways contradict each other.
+Duration max_contradiction(SimulatedCluster& cluster) { return cluster.agreement(0).longest_contradiction(); }
 
-TEST(ConfigAgreement, AVersionGivenToOneGatewayTakesEffectAtAllAtOneInstant) {
+TEST(ConfigAgreement, AVersionProposedOnOneGatewayBecomesActiveOnAllAtTheSameTime) {
     for (const int gateways : {1, 2, 3, 5, 9}) {
         SimulatedClusterSettings settings;
         settings.gateways = gateways;
-        SimulatedCluster fleet(settings);
-        ASSERT_TRUE(all_have(fleet, 0, 4s)) << gateways;
-        EXPECT_TRUE(fleet.propose(0, 7, std::string(3000, 'a') + "long enough for many datagrams"));
-        ASSERT_TRUE(all_have(fleet, 7, 12s)) << gateways << " gateways; " << fleet.with(7) << " have it";
-        EXPECT_LE(fleet.longest_contradiction, 500ms) << gateways << ": one may hear of the instant late";
-        EXPECT_EQ(fleet.broken, "");
-        EXPECT_EQ(fleet.agreement(gateways - 1).active_value("settings")->size(), 3030u);
+        SimulatedCluster cluster(settings);
+        ASSERT_TRUE(all_activate(cluster, 0, 4s)) << gateways;
+        EXPECT_TRUE(cluster.propose(0, 7, std::string(3000, 'a') + "long enough for many datagrams"));
+        ASSERT_TRUE(all_activate(cluster, 7, 12s))
+            << gateways << " gateways; " << cluster.with(7) << " have activated it";
+        EXPECT_LE(cluster.longest_contradiction, 500ms)
+            << gateways << ": a gateway may learn the activation time late";
+        EXPECT_EQ(cluster.broken, "");
+        EXPECT_EQ(cluster.agreement(gateways - 1).active_value("settings")->size(), 3030u);
     }
 }
 
-TEST(ConfigAgreement, EqualNumbersWithUnlikeContentsTakeNoEffectAndTheNextDoes) {
-    SimulatedCluster fleet(SimulatedClusterSettings{});
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 1, "one");
-    ASSERT_TRUE(all_have(fleet, 1, 4s));
-    fleet.propose(0, 2, "left");
-    fleet.propose(2, 2, "right");
-    fleet.run_for(6s);
-    EXPECT_EQ(fleet.with(1), 3) << "the old one stands";
-    EXPECT_EQ(fleet.count(EventKind::kConflict), 3u) << "each is told once";
-    fleet.propose(1, 3, "both");
-    EXPECT_TRUE(all_have(fleet, 3, 5s));
-    EXPECT_EQ(fleet.broken, "");
+TEST(ConfigAgreement, ConflictingProposalsAreNotActivatedAndTheNextVersionIs) {
+    SimulatedCluster cluster(SimulatedClusterSettings{});
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 1, "one");
+    ASSERT_TRUE(all_activate(cluster, 1, 4s));
+    cluster.propose(0, 2, "left");
+    cluster.propose(2, 2, "right");
+    cluster.run_for(6s);
+    EXPECT_EQ(cluster.with(1), 3) << "the old version stays active";
+    EXPECT_EQ(cluster.count(EventKind::kConflict), 3u) << "each gateway reports it once";
+    cluster.propose(1, 3, "both");
+    EXPECT_TRUE(all_activate(cluster, 3, 5s));
+    EXPECT_EQ(cluster.broken, "");
 }
 
-TEST(ConfigAgreement, AnOlderFileAtARestartUndoesNothingAndARollBackIsANewVersion) {
-    SimulatedCluster fleet(SimulatedClusterSettings{});
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 4, "old");
-    ASSERT_TRUE(all_have(fleet, 4, 4s));
-    fleet.propose(0, 5, "new");
-    ASSERT_TRUE(all_have(fleet, 5, 4s));
-    fleet.crash(1);
-    fleet.run_for(500ms);
-    fleet.start(1);
-    fleet.run_for(1ms);
-    fleet.propose(1, 4, "old");  // what its disk had
-    ASSERT_TRUE(all_have(fleet, 5, 6s));
-    const Status older = fleet.propose(1, 4, "old");
+TEST(ConfigAgreement, RejectsOlderVersionsAfterARestartAndRollsBackUnderANewNumber) {
+    SimulatedCluster cluster(SimulatedClusterSettings{});
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 4, "old");
+    ASSERT_TRUE(all_activate(cluster, 4, 4s));
+    cluster.propose(0, 5, "new");
+    ASSERT_TRUE(all_activate(cluster, 5, 4s));
+    cluster.crash(1);
+    cluster.run_for(500ms);
+    cluster.start(1);
+    cluster.run_for(1ms);
+    cluster.propose(1, 4, "old");  // the version in its old file
+    ASSERT_TRUE(all_activate(cluster, 5, 6s));
+    const Status older = cluster.propose(1, 4, "old");
     ASSERT_FALSE(older);
-    EXPECT_NE(older.error().message, "") << "and it is told why";
-    EXPECT_FALSE(fleet.propose(1, 5, "other"));
-    EXPECT_TRUE(fleet.propose(1, 6, "old")) << "the old content under a new number";
-    EXPECT_TRUE(all_have(fleet, 6, 5s));
-    EXPECT_EQ(fleet.broken, "");
+    EXPECT_NE(older.error().message, "") << "the reason is stated";
+    EXPECT_FALSE(cluster.propose(1, 5, "other"));
+    EXPECT_TRUE(cluster.propose(1, 6, "old")) << "old content under a new number";
+    EXPECT_TRUE(all_activate(cluster, 6, 5s));
+    EXPECT_EQ(cluster.broken, "");
 }
 
-TEST(ConfigAgreement, WaitsForAllThatAreThereAndNamesWhoLacksIt) {
-    SimulatedCluster fleet(SimulatedClusterSettings{});
-    fleet.can = [](int gateway, const std::string& value) { return gateway != 2 || value != "broken there"; };
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 1, "broken there");
-    fleet.run_for(5s);
-    EXPECT_EQ(fleet.with(1), 0);
-    EXPECT_EQ(fleet.agreement(0).members_without_proposal(), std::vector<int>{2});
-    EXPECT_EQ(fleet.agreement(2).members_without_proposal(), std::vector<int>{2});
-    fleet.crash(2);  // it is waited for no longer once it is known to be gone
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.with(1) == 2; }, 8s));
-    EXPECT_LE(fleet.longest_contradiction, stated(fleet));
+TEST(ConfigAgreement, WaitsForAllPresentMembersAndNamesThoseWithoutTheProposal) {
+    SimulatedCluster cluster(SimulatedClusterSettings{});
+    cluster.can = [](int gateway, const std::string& value) {
+        return gateway != 2 || value != "broken there";
+    };
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 1, "broken there");
+    cluster.run_for(5s);
+    EXPECT_EQ(cluster.with(1), 0);
+    EXPECT_EQ(cluster.agreement(0).members_without_proposal(), std::vector<int>{2});
+    EXPECT_EQ(cluster.agreement(2).members_without_proposal(), std::vector<int>{2});
+    cluster.crash(2);  // the others stop waiting for it once it is gone
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.with(1) == 2; }, 8s));
+    EXPECT_LE(cluster.longest_contradiction, max_contradiction(cluster));
 }
 
-TEST(ConfigAgreement, TheSmallerSideOfAPartitionIsFencedAndTheLargerGoesOn) {
+TEST(ConfigAgreement, TheMinorityOfAPartitionIsFencedAndTheMajorityContinues) {
     SimulatedClusterSettings settings;
     settings.gateways = 5;
-    SimulatedCluster fleet(settings);
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 1, "one");
-    ASSERT_TRUE(all_have(fleet, 1, 4s));
-    fleet.part({0, 1});
-    fleet.run_for(2100ms);
-    EXPECT_TRUE(fleet.fenced(0) && fleet.fenced(1));
-    EXPECT_FALSE(fleet.fenced(2) || fleet.fenced(3) || fleet.fenced(4));
-    fleet.propose(3, 2, "two");
-    fleet.propose(0, 3, "of the smaller side");
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.with(2) == 3; }, 12s));
-    EXPECT_EQ(fleet.with(3), 0);
-    fleet.heal();
-    EXPECT_TRUE(all_have(fleet, 3, 15s)) << "and it comes after, in its turn";
-    EXPECT_LE(fleet.longest_contradiction, stated(fleet));
-    EXPECT_EQ(fleet.broken, "");
+    SimulatedCluster cluster(settings);
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 1, "one");
+    ASSERT_TRUE(all_activate(cluster, 1, 4s));
+    cluster.part({0, 1});
+    cluster.run_for(2100ms);
+    EXPECT_TRUE(cluster.fenced(0) && cluster.fenced(1));
+    EXPECT_FALSE(cluster.fenced(2) || cluster.fenced(3) || cluster.fenced(4));
+    cluster.propose(3, 2, "two");
+    cluster.propose(0, 3, "of the smaller side");
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.with(2) == 3; }, 12s));
+    EXPECT_EQ(cluster.with(3), 0);
+    cluster.heal();
+    EXPECT_TRUE(all_activate(cluster, 3, 15s))
+        << "the minority's proposal becomes active after the partition";
+    EXPECT_LE(cluster.longest_contradiction, max_contradiction(cluster));
+    EXPECT_EQ(cluster.broken, "");
 }
 
-TEST(ConfigAgreement, AGatewayThatWasStoppedKnowsThatItWasHeldGoneBeforeItActs) {
-    SimulatedCluster fleet(SimulatedClusterSettings{});
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 1, "one");
-    ASSERT_TRUE(all_have(fleet, 1, 4s));
-    fleet.stall(2, 8s);
-    fleet.run_for(3s);
-    fleet.propose(0, 2, "two");
-    EXPECT_TRUE(fleet.run_until([&] { return fleet.with(2) == 2; }, 5s));
-    fleet.run_for(1s);
-    EXPECT_TRUE(fleet.fenced(2)) << "by its own clock, before it hears a word";
-    EXPECT_TRUE(all_have(fleet, 2, 6s));
-    EXPECT_GE(fleet.count(EventKind::kStalled), 1u);
-    EXPECT_LE(fleet.longest_contradiction, 40ms);
+TEST(ConfigAgreement, AStalledGatewayIsFencedBeforeItActsOnAnOutdatedVersion) {
+    SimulatedCluster cluster(SimulatedClusterSettings{});
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 1, "one");
+    ASSERT_TRUE(all_activate(cluster, 1, 4s));
+    cluster.stall(2, 8s);
+    cluster.run_for(3s);
+    cluster.propose(0, 2, "two");
+    EXPECT_TRUE(cluster.run_until([&] { return cluster.with(2) == 2; }, 5s));
+    cluster.run_for(1s);
+    EXPECT_TRUE(cluster.fenced(2)) << "by its own clock, before it receives anything";
+    EXPECT_TRUE(all_activate(cluster, 2, 6s));
+    EXPECT_GE(cluster.count(EventKind::kStalled), 1u);
+    EXPECT_LE(cluster.longest_contradiction, 40ms);
 }
 
-TEST(ConfigAgreement, WhatWasAgreedSurvivesACrashOfAllAndAnOldStateIsFencedUntilTheTierIsHeard) {
+TEST(ConfigAgreement, VersionsSurviveACrashOfAllAndAnOldSavedStateIsFencedUntilItHasALease) {
     SimulatedClusterSettings settings;
     settings.saves = true;
-    SimulatedCluster fleet(settings);
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.propose(0, 1, "one");
-    ASSERT_TRUE(all_have(fleet, 1, 4s));
-    const std::string old = fleet.saved(2);
-    for (int i = 0; i < 3; ++i) fleet.crash(i);
-    fleet.run_for(100ms);
-    for (int i = 0; i < 3; ++i) fleet.start(i);
-    EXPECT_EQ(fleet.with(1), 3);
-    EXPECT_TRUE(fleet.fenced(0) && fleet.fenced(1) && fleet.fenced(2));
-    ASSERT_TRUE(all_have(fleet, 1, 4s));
-    fleet.propose(0, 2, "two");
-    ASSERT_TRUE(all_have(fleet, 2, 4s));
-    fleet.crash(2);
-    fleet.saved(2) = old;
-    fleet.part({2});
-    fleet.start(2);
-    fleet.run_for(3s);
-    EXPECT_TRUE(fleet.fenced(2)) << "with version " << fleet.agreement(2).active_version("settings").number;
-    fleet.heal();
-    EXPECT_TRUE(all_have(fleet, 2, 6s));
-    ConfigAgreement spoilt(ConfigAgreement::Settings{}, {});
-    EXPECT_FALSE(spoilt.restore(kStart, old.substr(0, old.size() / 2)));
+    SimulatedCluster cluster(settings);
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.propose(0, 1, "one");
+    ASSERT_TRUE(all_activate(cluster, 1, 4s));
+    const std::string old = cluster.saved(2);
+    for (int i = 0; i < 3; ++i) cluster.crash(i);
+    cluster.run_for(100ms);
+    for (int i = 0; i < 3; ++i) cluster.start(i);
+    EXPECT_EQ(cluster.with(1), 3);
+    EXPECT_TRUE(cluster.fenced(0) && cluster.fenced(1) && cluster.fenced(2));
+    ASSERT_TRUE(all_activate(cluster, 1, 4s));
+    cluster.propose(0, 2, "two");
+    ASSERT_TRUE(all_activate(cluster, 2, 4s));
+    cluster.crash(2);
+    cluster.saved(2) = old;
+    cluster.part({2});
+    cluster.start(2);
+    cluster.run_for(3s);
+    EXPECT_TRUE(cluster.fenced(2)) << "with version "
+                                   << cluster.agreement(2).active_version("settings").number;
+    cluster.heal();
+    EXPECT_TRUE(all_activate(cluster, 2, 6s));
+    ConfigAgreement damaged(ConfigAgreement::Settings{}, {});
+    EXPECT_FALSE(damaged.restore(kStart, old.substr(0, old.size() / 2)));
 }
 
-TEST(ConfigAgreement, ADroppedRecordStaysDroppedThroughAPartitionAndTheLongestOneIsTakenWhole) {
+TEST(ConfigAgreement, ADeletedRecordStaysDeletedAfterPartitionsShorterAndLongerThanTombstones) {
     SimulatedClusterSettings settings;
     settings.with = [](ConfigAgreement::Settings& s) { s.tombstone_lifetime = 40s; };
-    SimulatedCluster fleet(settings);
-    ASSERT_TRUE(all_have(fleet, 0, 4s));
-    fleet.agreement(0).put_record(fleet.time_of(0), "x/1", "a");
-    fleet.agreement(0).put_record(fleet.time_of(0), "x/2", "b");
-    ASSERT_TRUE(fleet.run_until([&] { return fleet.agreement(2).find_record("x/2"); }, 4s));
-    fleet.run_for(1s);
-    const auto is_dead = [&](int gateway, const std::string& key) {
-        const Record* record = fleet.agreement(gateway).find_record(key);
+    SimulatedCluster cluster(settings);
+    ASSERT_TRUE(all_activate(cluster, 0, 4s));
+    cluster.agreement(0).put_record(cluster.time_of(0), "x/1", "a");
+    cluster.agreement(0).put_record(cluster.time_of(0), "x/2", "b");
+    ASSERT_TRUE(cluster.run_until([&] { return cluster.agreement(2).find_record("x/2"); }, 4s));
+    cluster.run_for(1s);
+    const auto is_deleted = [&](int gateway, const std::string& key) {
+        const Record* record = cluster.agreement(gateway).find_record(key);
         return !record || record->deleted;
     };
-    fleet.part({2});
-    fleet.agreement(0).delete_record(fleet.time_of(0), "x/1");
-    fleet.run_for(10s);
-    EXPECT_FALSE(is_dead(2, "x/1"));
-    fleet.heal();
-    fleet.run_for(4s);
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(is_dead(i, "x/1")) << i;
-    fleet.part({2});
-    fleet.agreement(0).delete_record(fleet.time_of(0), "x/2");
-    fleet.run_for(60s);  // longer than the tombstone
-    EXPECT_EQ(fleet.agreement(0).find_record("x/2"), nullptr);
-    EXPECT_FALSE(is_dead(2, "x/2"));
-    fleet.heal();
-    fleet.run_for(6s);
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(is_dead(i, "x/2")) << i;
-    EXPECT_EQ(fleet.count(EventKind::kRecordsDiscarded), 1u);
+    cluster.part({2});
+    cluster.agreement(0).delete_record(cluster.time_of(0), "x/1");
+    cluster.run_for(10s);
+    EXPECT_FALSE(is_deleted(2, "x/1"));
+    cluster.heal();
+    cluster.run_for(4s);
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(is_deleted(i, "x/1")) << i;
+    cluster.part({2});
+    cluster.agreement(0).delete_record(cluster.time_of(0), "x/2");
+    cluster.run_for(60s);  // longer than the tombstone
+    EXPECT_EQ(cluster.agreement(0).find_record("x/2"), nullptr);
+    EXPECT_FALSE(is_deleted(2, "x/2"));
+    cluster.heal();
+    cluster.run_for(6s);
+    for (int i = 0; i < 3; ++i) EXPECT_TRUE(is_deleted(i, "x/2")) << i;
+    EXPECT_EQ(cluster.count(EventKind::kRecordsDiscarded), 1u);
 }
 
-TEST(ConfigAgreement, OverTheCounterAloneItAgreesAndFencesToo) {
+TEST(ConfigAgreement, AgreesAndFencesThroughTheCounterAlone) {
     SimulatedClusterSettings settings;
     settings.gateways = 5;
     settings.transport = Transport::kCounter;
     settings.max_skew = 300ms;
-    SimulatedCluster fleet(settings);
-    const auto settled = [&](std::uint64_t number) {
+    SimulatedCluster cluster(settings);
+    const auto count_unfenced = [&](std::uint64_t number) {
         int in_full = 0;
         for (int i = 0; i < 5; ++i) {
-            const bool has = fleet.runs(i) && fleet.agreement(i).active_version("settings").number == number;
-            in_full += has && !fleet.fenced(i) ? 1 : 0;
+            const bool has =
+                cluster.runs(i) && cluster.agreement(i).active_version("settings").number == number;
+            in_full += has && !cluster.fenced(i) ? 1 : 0;
         }
         return in_full;
     };
-    ASSERT_TRUE(fleet.run_until([&] { return settled(0) == 5; }, 6s));
-    for (int i = 0; i < 4; ++i) fleet.propose(i, 1, "one");
-    fleet.run_for(5s);
-    EXPECT_EQ(fleet.with(1), 0) << "one does not hold it yet";
-    fleet.propose(4, 1, "one");
-    ASSERT_TRUE(fleet.run_until([&] { return settled(1) == 5; }, 10s));
-    fleet.cut(4, 4, true);  // from the counter
-    ASSERT_TRUE(fleet.run_until([&] { return settled(1) == 4; }, 6s));
-    EXPECT_TRUE(fleet.fenced(4));
-    for (int i = 0; i < 4; ++i) fleet.propose(i, 2, "two");
-    ASSERT_TRUE(fleet.run_until([&] { return settled(2) == 4; }, 10s));
-    fleet.propose(4, 2, "two");
-    fleet.cut(4, 4, false);
-    EXPECT_TRUE(fleet.run_until([&] { return settled(2) == 5; }, 8s)) << "one that was cut off goes over too";
-    EXPECT_LE(fleet.longest_contradiction, stated(fleet));
-    fleet.counter.mood = test_support::CounterModel::Mood::kSilent;
-    ASSERT_TRUE(fleet.run_until([&] { return settled(2) == 0; }, 6s)) << "a silent counter fences all";
+    ASSERT_TRUE(cluster.run_until([&] { return count_unfenced(0) == 5; }, 6s));
+    for (int i = 0; i < 4; ++i) cluster.propose(i, 1, "one");
+    cluster.run_for(5s);
+    EXPECT_EQ(cluster.with(1), 0) << "one gateway does not hold it yet";
+    cluster.propose(4, 1, "one");
+    ASSERT_TRUE(cluster.run_until([&] { return count_unfenced(1) == 5; }, 10s));
+    cluster.cut(4, 4, true);  // from the counter
+    ASSERT_TRUE(cluster.run_until([&] { return count_unfenced(1) == 4; }, 6s));
+    EXPECT_TRUE(cluster.fenced(4));
+    for (int i = 0; i < 4; ++i) cluster.propose(i, 2, "two");
+    ASSERT_TRUE(cluster.run_until([&] { return count_unfenced(2) == 4; }, 10s));
+    cluster.propose(4, 2, "two");
+    cluster.cut(4, 4, false);
+    EXPECT_TRUE(cluster.run_until([&] { return count_unfenced(2) == 5; }, 8s))
+        << "the gateway that was cut off activates it too";
+    EXPECT_LE(cluster.longest_contradiction, max_contradiction(cluster));
+    cluster.counter.mood = test_support::CounterModel::Mood::kSilent;
+    ASSERT_TRUE(cluster.run_until([&] { return count_unfenced(2) == 0; }, 6s))
+        << "without answers of the counter all are fenced";
 }
 
-// ---- Faults at numbered points, each in turn ------------------------------------------------------------
+// ---- A fault at each numbered point in turn -------------------------------------------------------------
 
-// One version in force, then another is given to two gateways, a record is put and dropped; a fault
-// somewhere.
-std::string play(const std::function<void(SimulatedCluster&)>& prepare,
-                 const std::function<void(SimulatedClusterSettings&)>& with = {}) {
+// Proposes a version, then another on a second gateway, and puts and deletes a record, while `prepare` may
+// inject a fault. Returns the broken rule; empty if there is none.
+std::string run_scenario(const std::function<void(SimulatedCluster&)>& prepare,
+                         const std::function<void(SimulatedClusterSettings&)>& with = {}) {
     SimulatedClusterSettings settings;
     settings.saves = true;
     settings.lost = 0.02;
     if (with) with(settings);
-    SimulatedCluster fleet(settings);
-    fleet.run_until([&] { return fleet.settled(0); }, 3s);
-    prepare(fleet);
-    fleet.propose(0, 1, "the first");
-    fleet.run_for(200ms);
-    if (fleet.runs(1)) fleet.agreement(1).put_record(fleet.time_of(1), "x/1", "a");
-    fleet.run_for(600ms);
-    if (fleet.runs(2)) fleet.propose(2, 2, "the second");
-    if (fleet.runs(1)) fleet.agreement(1).delete_record(fleet.time_of(1), "x/1");
-    fleet.run_for(1200ms);
-    fleet.inject({});
-    fleet.run_for(4500ms);  // the fault ends, whatever it was
-    const std::uint64_t newest = fleet.with(2) > 0 ? 2 : fleet.with(1) > 0 ? 1 : 0;
-    if (!fleet.run_until([&] { return fleet.settled(newest); }, 10s)) return "no agreement after the fault";
+    SimulatedCluster cluster(settings);
+    cluster.run_until([&] { return cluster.settled(0); }, 3s);
+    prepare(cluster);
+    cluster.propose(0, 1, "the first");
+    cluster.run_for(200ms);
+    if (cluster.runs(1)) cluster.agreement(1).put_record(cluster.time_of(1), "x/1", "a");
+    cluster.run_for(600ms);
+    if (cluster.runs(2)) cluster.propose(2, 2, "the second");
+    if (cluster.runs(1)) cluster.agreement(1).delete_record(cluster.time_of(1), "x/1");
+    cluster.run_for(1200ms);
+    cluster.inject({});
+    cluster.run_for(4500ms);  // longer than any fault lasts
+    const std::uint64_t newest = cluster.with(2) > 0 ? 2 : cluster.with(1) > 0 ? 1 : 0;
+    if (!cluster.run_until([&] { return cluster.settled(newest); }, 10s))
+        return "no agreement after the fault";
     for (int i = 0; i < 3; ++i) {
-        const Record* record = fleet.agreement(i).find_record("x/1");
+        const Record* record = cluster.agreement(i).find_record("x/1");
         if (record && !record->deleted) {
-            const Record* at_origin = fleet.agreement(1).find_record("x/1");
-            if (at_origin && at_origin->deleted) return "a dropped record is back";
+            const Record* at_origin = cluster.agreement(1).find_record("x/1");
+            if (at_origin && at_origin->deleted) return "a deleted record is back";
         }
     }
-    if (fleet.longest_contradiction > stated(fleet)) {
+    if (cluster.longest_contradiction > max_contradiction(cluster)) {
         return "two gateways contradicted each other for " +
-               std::to_string(test_support::seconds(fleet.longest_contradiction)) + " s";
+               std::to_string(test_support::seconds(cluster.longest_contradiction)) + " s";
     }
-    return fleet.broken;
+    return cluster.broken;
 }
 
-TEST(AgreementPoints, EveryFaultAtEveryPointInTurnKeepsTheRules) {
+TEST(AgreementFaults, NoFaultAtAnyPointBreaksTheGuarantees) {
     const std::vector<Fault> faults(std::begin(test_support::kAllFaults), std::end(test_support::kAllFaults));
     const auto all = test_support::at_each_point(
-        [](const std::function<void(SimulatedCluster&)>& prepare) { return play(prepare); }, faults);
+        [](const std::function<void(SimulatedCluster&)>& prepare) { return run_scenario(prepare); }, faults);
     EXPECT_GT(all.points, 100u);
     for (const std::string& failure : all.failures) ADD_FAILURE() << failure;
     std::printf("%llu points, %llu runs\n", static_cast<unsigned long long>(all.points),
                 static_cast<unsigned long long>(all.runs));
 }
 
-// Mutants: each breaks a rule on purpose, and must be caught.
-TEST(AgreementPoints, WithoutTheFenceACutGatewayActsOnWhatIsOver) {
+// Each of the following tests disables a safeguard and expects the failure that the safeguard prevents.
+TEST(AgreementFaults, WithoutFencingAPartitionedGatewayActsOnAnOutdatedVersion) {
     SimulatedClusterSettings settings;
     settings.with = [](ConfigAgreement::Settings& s) { s.test_seams.never_fenced = true; };
-    SimulatedCluster fleet(settings);
-    fleet.run_for(3s);
-    fleet.propose(0, 1, "one");
-    fleet.run_for(3s);
-    fleet.part({2});
-    fleet.propose(0, 2, "two");
-    fleet.run_for(12s);
-    EXPECT_GT(fleet.longest_contradiction, stated(fleet));
+    SimulatedCluster cluster(settings);
+    cluster.run_for(3s);
+    cluster.propose(0, 1, "one");
+    cluster.run_for(3s);
+    cluster.part({2});
+    cluster.propose(0, 2, "two");
+    cluster.run_for(12s);
+    EXPECT_GT(cluster.longest_contradiction, max_contradiction(cluster));
 }
 
-TEST(AgreementPoints, WithoutTombstonesADroppedRecordComesBack) {
+TEST(AgreementFaults, WithoutTombstonesADeletedRecordComesBack) {
     SimulatedClusterSettings settings;
     settings.with = [](ConfigAgreement::Settings& s) { s.test_seams.without_tombstones = true; };
-    SimulatedCluster fleet(settings);
-    fleet.run_for(3s);
-    fleet.agreement(0).put_record(fleet.time_of(0), "x/1", "a");
-    fleet.run_for(2s);
-    fleet.agreement(0).delete_record(fleet.time_of(0), "x/1");
-    fleet.run_for(3s);
-    EXPECT_NE(fleet.agreement(0).find_record("x/1"), nullptr);
+    SimulatedCluster cluster(settings);
+    cluster.run_for(3s);
+    cluster.agreement(0).put_record(cluster.time_of(0), "x/1", "a");
+    cluster.run_for(2s);
+    cluster.agreement(0).delete_record(cluster.time_of(0), "x/1");
+    cluster.run_for(3s);
+    EXPECT_NE(cluster.agreement(0).find_record("x/1"), nullptr);
 }
 
 }  // namespace
--- a/tests/state_files_test.cpp
+++ b/tests/state_files_test.cpp
@@ -1,5 +1,6 @@
-// State that a process reads back at its next start: what is not there is told from what cannot be read, and
-// what could not be used is never overwritten unseen, whichever call fails and however.
+// Tests of state that a process reads back at its next start. A missing file is distinguished from an
+// unreadable one, and an unusable file is never overwritten unnoticed, whichever file operation fails and in
+// whatever way.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <sys/wait.h>
@@ -25,35 +26,36 @@
 constexpr const char* kKind = "linnetlead-test 1";
 constexpr int kFaults[] = {EACCES, EIO, EMFILE, ENOSPC, storage::kShortTransfer};
 
-// A folder that is gone with the test, and no fault left behind.
+// Creates a temporary directory; removes it and the injected faults at the end.
 class StateFiles : public testing::Test {
 protected:
-    StateFiles() : folder_(test_support::temporary_path("state")) {
-        std::filesystem::create_directory(folder_);
+    StateFiles() : directory_(test_support::temporary_path("state")) {
+        std::filesystem::create_directory(directory_);
     }
     ~StateFiles() override {
         storage::inject_file_faults(nullptr);
         std::error_code ignored;
-        std::filesystem::remove_all(folder_, ignored);
+        std::filesystem::remove_all(directory_, ignored);
     }
-    std::string path() const { return folder_ + "/state"; }
-    std::string aside() const { return path() + ".unusable.1"; }
+    std::string path() const { return directory_ + "/state"; }
+    std::string set_aside_path() const { return path() + ".unusable.1"; }
     static std::string content(const std::string& path) {
         std::ifstream file(path, std::ios::binary);
         return std::string((std::istreambuf_iterator<char>(file)), {});
     }
     void clear() {
-        std::filesystem::remove_all(folder_);
-        std::filesystem::create_directory(folder_);
+        std::filesystem::remove_all(directory_);
+        std::filesystem::create_directory(directory_);
     }
     static Status save(StateFile& file, const std::string& state) {
         const Status result = file.writer(state)();
         file.written(result);
         return result;
     }
-    // The call of this number fails; returns how many there were. 0: none fails.
+    // Runs `act` with the fault in the file operation of this number (0: in none). Returns the number of
+    // operations.
     template <typename Act>
-    static int calls_with_fault(int number, int fault, Act act) {
+    static int run_with_fault(int number, int fault, Act act) {
         int calls = 0;
         storage::inject_file_faults([&](FileCall) { return ++calls == number ? fault : 0; });
         act();
@@ -61,16 +63,16 @@
         return calls;
     }
 
-    const std::string folder_;
+    const std::string directory_;
 };
 
-TEST_F(StateFiles, NothingThereIsToldFromWhatCannotBeReadAndFromWhatIsDamaged) {
+TEST_F(StateFiles, DistinguishesAbsentUnreadableAndDamagedFiles) {
     StateFile absent(path(), kKind);
     EXPECT_EQ(absent.load().error().code, ErrorCode::kNotFound);
     EXPECT_EQ(absent.problem(), "");
     ASSERT_TRUE(save(absent, "state"));
     EXPECT_EQ(*StateFile(path(), kKind).load(), "state");
-    EXPECT_FALSE(std::filesystem::exists(aside()));
+    EXPECT_FALSE(std::filesystem::exists(set_aside_path()));
 
     StateFile other(path(), "linnetlead-test 2");
     EXPECT_EQ(other.load().error().code, ErrorCode::kInvalidArgument);
@@ -81,7 +83,7 @@
     EXPECT_FALSE(damaged.load());
     EXPECT_NE(damaged.problem().find(path()), std::string::npos) << damaged.problem();
 
-    // A folder in its place cannot be read, whoever asks.
+    // A directory cannot be read as a file, even by root.
     unlink(path().c_str());
     std::filesystem::create_directory(path());
     StateFile unreadable(path(), kKind);
@@ -89,13 +91,13 @@
     EXPECT_NE(unreadable.problem().find("Is a directory"), std::string::npos) << unreadable.problem();
 }
 
-TEST_F(StateFiles, WhatCouldNotBeUsedIsSetAsideBeforeTheFirstSave) {
+TEST_F(StateFiles, SetsAnUnusableFileAsideBeforeTheFirstSave) {
     std::string bytes[] = {"damaged at first", "damaged again"};
     for (int i = 0; i < 2; ++i) {
         ASSERT_TRUE(storage::replace_file(path(), bytes[i]));
         StateFile file(path(), kKind);
         EXPECT_FALSE(file.load());
-        EXPECT_EQ(content(path()), bytes[i]) << "nothing is touched until there is something to save";
+        EXPECT_EQ(content(path()), bytes[i]) << "the file is unchanged until the first save";
         ASSERT_TRUE(save(file, "newer"));
         ASSERT_TRUE(save(file, "newest"));
     }
@@ -104,7 +106,7 @@
     EXPECT_EQ(*StateFile(path(), kKind).load(), "newest");
 }
 
-TEST_F(StateFiles, WithAllNamesTakenNothingIsOverwritten) {
+TEST_F(StateFiles, OverwritesNothingIfAllSetAsideNamesAreTaken) {
     for (int i = 1; i <= storage::kMaxSetAside; ++i)
         ASSERT_TRUE(storage::replace_file(path() + ".unusable." + std::to_string(i), "kept"));
     ASSERT_TRUE(storage::replace_file(path(), "damaged"));
@@ -114,9 +116,9 @@
     EXPECT_EQ(content(path()), "damaged");
 }
 
-// Guards against a file that cannot be read being taken for none, and overwritten by the next save: each call
-// of a start and a save fails in turn, in each way.
-TEST_F(StateFiles, WhicheverCallFailsTheStateBeforeIsReadOrKept) {
+// Guards against treating an unreadable file as missing and overwriting it with the next save. Each file
+// operation of a start and a save fails in turn, with each fault.
+TEST_F(StateFiles, ReadsOrKeepsThePreviousStateWhicheverOperationFails) {
     int points = 0;
     for (const int fault : kFaults) {
         for (int number = 1;; ++number) {
@@ -127,22 +129,22 @@
             StateFile file(path(), kKind);
             Result<std::string> found;
             Status saved;
-            const int calls = calls_with_fault(number, fault, [&] {
+            const int calls = run_with_fault(number, fault, [&] {
                 found = file.load();
                 saved = save(file, "the state after");
             });
             if (number > calls) break;
             ++points;
-            const std::string at = "call " + std::to_string(number) + ", fault " + std::to_string(fault);
+            const std::string at = "operation " + std::to_string(number) + ", fault " + std::to_string(fault);
             if (found) {
                 EXPECT_EQ(*found, "the state before") << at;
             } else {
-                EXPECT_EQ(found.error().code, ErrorCode::kIo) << at << ": it is there";
+                EXPECT_EQ(found.error().code, ErrorCode::kIo) << at << ": the file exists";
                 EXPECT_NE(found.error().message.find(path()), std::string::npos) << found.error().message;
                 EXPECT_FALSE(file.problem().empty()) << at;
             }
-            const bool is_kept = content(path()) == bytes || content(aside()) == bytes;
-            EXPECT_TRUE(is_kept || (found && saved)) << at << ": gone unseen";
+            const bool is_kept = content(path()) == bytes || content(set_aside_path()) == bytes;
+            EXPECT_TRUE(is_kept || (found && saved)) << at << ": lost unnoticed";
             if (!saved) {
                 EXPECT_NE(saved.error().message.find(path()), std::string::npos) << saved.error().message;
                 EXPECT_TRUE(save(file, "the state after")) << at << ": the next save succeeds";
@@ -164,10 +166,10 @@
     return ready;
 }
 
-// Guards against a voter that begins with an empty log and forgets its vote, since what it has cannot be
-// read.
-TEST_F(StateFiles, AVoterWhoseLogCannotBeReadDoesNotStart) {
-    const raft::RaftLogStore::Settings settings{folder_ + "/voter", 1};
+// Guards against a voter that starts with an empty log, and so without its vote, because its log is
+// unreadable.
+TEST_F(StateFiles, AVoterWithAnUnreadableLogDoesNotStart) {
+    const raft::RaftLogStore::Settings settings{directory_ + "/voter", 1};
     {
         auto opened = raft::RaftLogStore::open(settings);
         ASSERT_TRUE(opened) << opened.error().message;
@@ -177,9 +179,10 @@
     for (const int fault : kFaults) {
         for (int number = 1;; ++number) {
             const auto log = content(settings.directory + "/log");
-            const int calls = calls_with_fault(number, fault, [&] {
+            const int calls = run_with_fault(number, fault, [&] {
                 const auto opened = raft::RaftLogStore::open(settings);
-                const std::string at = "call " + std::to_string(number) + ", fault " + std::to_string(fault);
+                const std::string at =
+                    "operation " + std::to_string(number) + ", fault " + std::to_string(fault);
                 if (!opened) {
                     ++failures;
                     EXPECT_NE(opened.error().message.find(settings.directory), std::string::npos) << at;
@@ -189,7 +192,7 @@
                 EXPECT_EQ(opened->state.hard.vote, 2) << at;
                 EXPECT_EQ(opened->state.entries.size(), 1u) << at;
             });
-            EXPECT_EQ(content(settings.directory + "/log"), log) << "call " << number;
+            EXPECT_EQ(content(settings.directory + "/log"), log) << "operation " << number;
             if (number > calls) break;
             ++points;
         }
@@ -198,52 +201,54 @@
     EXPECT_GT(failures, 10);
 }
 
-// What a voter was told is on disk is there at its next start, whichever call fails meanwhile.
-TEST_F(StateFiles, AVoterNeverForgetsWhatItWasToldIsWritten) {
+// Guards against losing a write that was reported as successful, whichever file operation fails.
+TEST_F(StateFiles, AVoterKeepsEveryTermThatWasReportedWritten) {
     int points = 0;
     for (const int fault : kFaults) {
         for (int number = 1;; ++number) {
             clear();
-            const raft::RaftLogStore::Settings settings{folder_ + "/voter", 1};
-            raft::Term promised = 0;
-            const int calls = calls_with_fault(number, fault, [&] {
+            const raft::RaftLogStore::Settings settings{directory_ + "/voter", 1};
+            raft::Term reported_written = 0;
+            const int calls = run_with_fault(number, fault, [&] {
                 auto opened = raft::RaftLogStore::open(settings);
                 if (!opened) return;
                 for (raft::Term term = 1; term <= 3; ++term) {
                     if (!opened->store->write(vote_for(term, 2, ""))) return;
-                    promised = term;
+                    reported_written = term;
                 }
             });
             if (number > calls) break;
             ++points;
             const auto again = raft::RaftLogStore::open(settings);
-            ASSERT_TRUE(again) << "call " << number << ", fault " << fault << ": " << again.error().message;
-            EXPECT_GE(again->state.hard.term, promised) << "call " << number << ", fault " << fault;
+            ASSERT_TRUE(again) << "operation " << number << ", fault " << fault << ": "
+                               << again.error().message;
+            EXPECT_GE(again->state.hard.term, reported_written)
+                << "operation " << number << ", fault " << fault;
         }
     }
     EXPECT_GT(points, 20);
 }
 
-// Guards against files that pile up beside a state, one for each process that ended amid a save.
-TEST_F(StateFiles, WhatAProcessLeftAmidASaveIsRemovedByTheNextStart) {
-    constexpr const char* kNobody = ".part.999999999";
-    const std::string living = ".part." + std::to_string(getppid());
-    for (const std::string& one : {std::string(kNobody), std::string(".part"), living})
+// Guards against an accumulation of temporary files, one for each process that ended during a save.
+TEST_F(StateFiles, RemovesTemporaryFilesOfEndedProcessesAtTheNextStart) {
+    constexpr const char* kEndedProcess = ".part.999999999";
+    const std::string running_process = ".part." + std::to_string(getppid());
+    for (const std::string& one : {std::string(kEndedProcess), std::string(".part"), running_process})
         ASSERT_TRUE(storage::replace_file(path() + one, "a part"));
     EXPECT_FALSE(StateFile(path(), kKind).load());
-    EXPECT_FALSE(std::filesystem::exists(path() + kNobody));
-    EXPECT_FALSE(std::filesystem::exists(path() + ".part")) << "an earlier release named it so";
-    EXPECT_TRUE(std::filesystem::exists(path() + living));
+    EXPECT_FALSE(std::filesystem::exists(path() + kEndedProcess));
+    EXPECT_FALSE(std::filesystem::exists(path() + ".part")) << "the name that an earlier release used";
+    EXPECT_TRUE(std::filesystem::exists(path() + running_process));
 }
 
-// Guards against two processes that keep one state, as in a hot restart, writing through one temporary file:
-// what is read then is neither's.
-TEST_F(StateFiles, TwoProcessesThatSaveAtOnceLeaveOneOfTheirStates) {
+// Guards against a mixed file: two processes with the same state file, as in a hot restart, must not write
+// through the same temporary file.
+TEST_F(StateFiles, ConcurrentSavesOfTwoProcessesLeaveOneWholeState) {
     constexpr int kSaves = 150;
     const std::string states[] = {std::string(300'000, 'a'), std::string(200'000, 'b')};
     ASSERT_TRUE(storage::replace_file(path(), states[0]));
     const pid_t other = fork();
-    while (other == 0) static_cast<void>(storage::replace_file(path(), states[1]));  // until it is killed
+    while (other == 0) static_cast<void>(storage::replace_file(path(), states[1]));  // until killed
     for (int i = 0; i < kSaves; ++i) {
         static_cast<void>(storage::replace_file(path(), states[0]));
         const std::string read = content(path());
@@ -251,8 +256,9 @@
     }
     kill(other, SIGKILL);
     waitpid(other, nullptr, 0);
-    std::filesystem::remove(path() + ".part." + std::to_string(other));  // where it was amid a save
-    EXPECT_EQ(std::distance(std::filesystem::directory_iterator(folder_), {}), 1) << "nothing else is left";
+    std::filesystem::remove(path() + ".part." + std::to_string(other));  // if it was killed during a save
+    EXPECT_EQ(std::distance(std::filesystem::directory_iterator(directory_), {}), 1)
+        << "no other file is left";
 }
 
 }  // namespace
