--- a/src/cluster/distribution/follower.cpp
+++ b/src/cluster/distribution/follower.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Without records that heartbeats tell of, for so many heartbeat timeouts: they were lost on the way.
+// Records that heartbeats require count as lost if they do not arrive within so many heartbeat timeouts.
 constexpr int kMissingRecordsTimeouts = 2;
 
 bool is_same(const Ack& a, const Ack& b) {
@@ -40,11 +40,11 @@
       unsupported_(callbacks_.unsupported_edits),
       connection_(settings_, callbacks_, [this] { assembler_.clear(); }) {}
 
-// ---- the lease ----
+// ---- lease ----
 
 bool Follower::fenced(Timestamp now) const {
     if (!lease_.is_valid(now)) return true;
-    // What is scheduled and due has to be active, also what the heartbeat does not know of yet.
+    // Activations that are due must have taken effect, including those newer than the heartbeat.
     const auto next = history_.next_activation_time();
     return next && *next <= now;
 }
@@ -56,12 +56,14 @@
         case FollowerLease::Outcome::kStale:
             return;
         case FollowerLease::Outcome::kClockAhead:
-            callbacks_.on_event(EventKind::kClock,
-                                "a beat from a time that is more than the skew ahead: it is left out");
+            callbacks_.on_event(
+                EventKind::kClock,
+                "ignored a heartbeat whose time is ahead of the local clock by more than the allowed skew");
             return;
         case FollowerLease::Outcome::kForeignHistory:
             needs_full_state_ = true;
-            return connection_.abandon(now, "the state held here is not of this fleet");
+            return connection_.abandon(now,
+                                       "the local state belongs to another fleet; a full state is needed");
         case FollowerLease::Outcome::kAccepted:
             break;
     }
@@ -107,10 +109,10 @@
     } else if (const auto* away = std::get_if<Away>(&frame)) {
         connection_.on_retry_later(now, *away);
     } else if (const auto* error = std::get_if<Error>(&frame)) {
-        connection_.abandon(
-            now,
-            std::string("the relay says: ") + rejection_message(error->rejection) + ", " + error->message,
-            FollowerConnection::kMinAvoidance);
+        connection_.abandon(now,
+                            std::string("the relay reported an error: ") +
+                                rejection_message(error->rejection) + ", " + error->message,
+                            FollowerConnection::kMinAvoidance);
     } else if (const auto* records = std::get_if<Records>(&frame)) {
         on_records(now, *records);
     } else if (const auto* lease = std::get_if<Lease>(&frame)) {
@@ -118,7 +120,8 @@
     } else if (const auto* chunk = std::get_if<SnapshotChunk>(&frame)) {
         on_snapshot_chunk(now, *chunk);
     } else if (!std::holds_alternative<Answer>(frame)) {
-        connection_.abandon(now, "a frame came that no relay sends", FollowerConnection::kMaxAvoidance);
+        connection_.abandon(now, "received a frame that a relay never sends",
+                            FollowerConnection::kMaxAvoidance);
     }
     notify_fenced(now);
 }
@@ -129,9 +132,9 @@
             case History::AddResult::kAlreadyKnown:
                 continue;
             case History::AddResult::kGap:
-                return connection_.abandon(now, "records came with a gap");
+                return connection_.abandon(now, "received records with a gap");
             case History::AddResult::kConflict:
-                return connection_.abandon(now, "a record came that contradicts one held here");
+                return connection_.abandon(now, "received a record that conflicts with a local one");
             case History::AddResult::kAdded:
                 break;
         }
@@ -141,7 +144,7 @@
         if (record.kind == RecordKind::kChange) unsupported_.on_pending(record);
         if (callbacks_.on_record) callbacks_.on_record(record);
         if (history_.pending_bytes() > settings_.max_pending_bytes) {
-            const char* const reason = "records that are not in force yet are over their bound";
+            const char* const reason = "records that are not active yet exceed max_pending_bytes";
             callbacks_.on_event(EventKind::kPending, reason);
             return connection_.abandon(now, reason, FollowerConnection::kMaxAvoidance);
         }
@@ -152,42 +155,41 @@
 
 void Follower::on_snapshot_chunk(Timestamp now, const SnapshotChunk& chunk) {
     if (!assembler_.add(chunk, history_.store().bytes()))
-        return connection_.abandon(now, "pieces of a snapshot came with a gap");
+        return connection_.abandon(now, "received snapshot chunks with a gap");
     lease_.on_progress(now);
     if (!chunk.is_last) return;
     SnapshotAssembler::Snapshot snapshot = assembler_.finish();
     if (install(now, chunk, snapshot)) on_installed(now, chunk, snapshot.chunks);
 }
 
-// False: it could not be, and the connection has been given up.
 bool Follower::install(Timestamp now, const SnapshotChunk& last, SnapshotAssembler::Snapshot& snapshot) {
     const auto abandon = [&](const char* reason) {
         connection_.abandon(now, reason);
         return false;
     };
-    // A relay whose log ends so far back has nothing new; going on would undo what is active.
+    // The relay's state is older than the local one; installing it would undo active changes.
     if (last.since_revision == 0 && !needs_full_state_ && last.last_included_index < history_.applied_index())
-        return abandon("a snapshot came that is older than what is in force here");
+        return abandon("received a snapshot that is older than the active state");
     const auto result = snapshot.store ? history_.install_snapshot(last, std::move(*snapshot.store))
                                        : history_.install_snapshot(last, snapshot.chunks);
     switch (result) {
         case History::SnapshotResult::kApplied:
             return true;
         case History::SnapshotResult::kNotContiguous:
-            return abandon("a snapshot came that does not go on from what is held here");
+            return abandon("received a snapshot that does not continue the local state");
         case History::SnapshotResult::kHashMismatch:
             needs_full_state_ = true;
-            return abandon("a snapshot came whose hash is not that of its state");
+            return abandon("received a snapshot whose hash does not match its state");
         case History::SnapshotResult::kCorrupted:
             break;
     }
-    // Nothing is held any more.
+    // The history has discarded its state.
     needs_full_state_ = true;
-    lease_.void_current();
+    lease_.clear_current();
     unsupported_.clear();
     if (callbacks_.on_active) callbacks_.on_active(0, {}, true);
     if (callbacks_.on_state_replaced) callbacks_.on_state_replaced();
-    return abandon("a snapshot came whose entries contradict each other");
+    return abandon("received a corrupted snapshot; the local state is lost");
 }
 
 void Follower::on_installed(Timestamp now, const SnapshotChunk& last,
@@ -201,8 +203,8 @@
     ack_due_ = true;
     unsupported_.drop_applied(history_.applied_index());
     unsupported_.drop_beyond(history_.last_index());
-    // A heartbeat that told of more records than are held now gives no lease on fewer.
-    if (history_.last_index() < lease_.current().committed) lease_.void_current();
+    // A heartbeat whose records are no longer all held gives no lease.
+    if (history_.last_index() < lease_.current().committed) lease_.clear_current();
     std::vector<std::string> keys;
     if (is_full) {
         unsupported_.recheck(history_.store());
@@ -219,7 +221,7 @@
     use_heartbeats();
 }
 
-// ---- the connection ----
+// ---- connection ----
 
 void Follower::on_connected(Timestamp now) {
     if (!connection_.on_connected(now)) return;
@@ -242,9 +244,9 @@
     use_heartbeats();
     notify_fenced(now);
     if (!connection_.tick(now)) return;
-    // A relay may send records in its own time, but not leave out what was lost on the way.
+    // A relay may delay records, but records that were lost require a new connection.
     if (lease_.is_missing_records(now, kMissingRecordsTimeouts * settings_.heartbeat_timeout))
-        return connection_.abandon(now, "records that counted have not come for too long");
+        return connection_.abandon(now, "committed records have not arrived in time");
     const bool is_quiet = history_.pending_change_count() == 0 && !fenced(now);
     if (connection_.may_return_to_nearest(now) && is_quiet && connection_.return_to_nearest(now)) return;
     acknowledge(now);
--- a/src/cluster/distribution/follower_connection.cpp
+++ b/src/cluster/distribution/follower_connection.cpp
@@ -10,12 +10,12 @@
 constexpr int kMaxBackoffDoublings = 10;
 constexpr int kMaxAvoidanceDoublings = 4;
 constexpr int kMaxHeartbeatDoublings = 3;
-// Asked to leave by so many relays of late, a follower looks beyond the nearest at once.
-constexpr std::ptrdiff_t kAskedToLeaveByMany = 2;
-// The first group beyond the nearest; each further one is twice as large, so that followers of a lost relay
-// spread over many others.
+// A follower that so many relays have recently asked to leave tries relays beyond the nearest at once.
+constexpr std::ptrdiff_t kManyLeaveRequests = 2;
+// Size of the first group of relays beyond the nearest. Each further group is twice as large, so that the
+// followers of a lost relay spread over many others.
 constexpr std::size_t kMinWiderGroup = 4;
-constexpr double kTokensToReturn = 2;  // one remains for the way back
+constexpr double kTokensToReturn = 2;  // one remains for an attempt to go back
 
 }  // namespace
 
@@ -27,44 +27,44 @@
       random_(settings.seed),
       tokens_(settings.attempt_burst) {}
 
-// ---- which relay ----
+// ---- selection of a relay ----
 
 FollowerConnection::Preference FollowerConnection::preference_of(Timestamp now, std::size_t relay) const {
     const auto found = backoffs_.find(relay);
     if (found == backoffs_.end()) return kHealthy;
     const Backoff& backoff = found->second;
-    if (backoff.until <= now) return now < backoff.suspect ? kSuspect : kHealthy;
-    if (backoff.asked) return kAskedToWait;
+    if (backoff.until <= now) return now < backoff.suspect_until ? kSuspect : kHealthy;
+    if (backoff.is_requested) return kDelayRequested;
     return backoff.failures == 0 ? kWithoutHeartbeat : kFailed;
 }
 
-std::optional<std::size_t> FollowerConnection::choose(Timestamp now) {
-    const std::size_t all = settings_.relays.size();
-    Preference best = kAskedToWait;
-    for (std::size_t i = 0; i < all; ++i) best = std::min(best, preference_of(now, i));
-    if (best == kAskedToWait) return std::nullopt;
+std::optional<std::size_t> FollowerConnection::choose_relay(Timestamp now) {
+    const std::size_t count = settings_.relays.size();
+    Preference best = kDelayRequested;
+    for (std::size_t i = 0; i < count; ++i) best = std::min(best, preference_of(now, i));
+    if (best == kDelayRequested) return std::nullopt;
     if (best < kWithoutHeartbeat) return choose_by_distance(now, best);
-    // All are to be avoided: the one whose time is over first.
+    // All are in backoff: select the one whose backoff ends first.
     std::optional<std::size_t> first;
-    for (std::size_t i = 0; i < all; ++i) {
+    for (std::size_t i = 0; i < count; ++i) {
         if (preference_of(now, i) != best) continue;
         if (!first || backoffs_[i].until < backoffs_[*first].until) first = i;
     }
     return first;
 }
 
-// Any of the nearest that may be tried; where there is none, any of the next wider group.
+// Selects any of the nearest relays with this preference; if there is none, any of the next, wider group.
 std::size_t FollowerConnection::choose_by_distance(Timestamp now, Preference best) {
-    const std::size_t all = settings_.relays.size();
+    const std::size_t count = settings_.relays.size();
     std::size_t begin = 0;
-    std::size_t size = std::clamp<std::size_t>(settings_.nearest_count, 1, all);
-    const auto asked_to_leave = std::count_if(backoffs_.begin(), backoffs_.end(), [now](const auto& each) {
-        return each.second.until > now && each.second.failures == 0 && !each.second.asked;
+    std::size_t size = std::clamp<std::size_t>(settings_.nearest_count, 1, count);
+    const auto leave_requests = std::count_if(backoffs_.begin(), backoffs_.end(), [now](const auto& each) {
+        return each.second.until > now && each.second.failures == 0 && !each.second.is_requested;
     });
-    if (came_from_ && asked_to_leave >= kAskedToLeaveByMany) size = all;
+    if (left_relay_ && leave_requests >= kManyLeaveRequests) size = count;
     std::vector<std::size_t> candidates;
     while (candidates.empty()) {
-        const std::size_t end = std::min(all, begin + size);
+        const std::size_t end = std::min(count, begin + size);
         for (std::size_t i = begin; i < end; ++i) {
             if (preference_of(now, i) == best) candidates.push_back(i);
         }
@@ -74,31 +74,31 @@
     return candidates[std::uniform_int_distribution<std::size_t>(0, candidates.size() - 1)(random_)];
 }
 
-// ---- when ----
+// ---- attempts ----
 
-Duration FollowerConnection::jittered(Duration most) {
-    if (most <= Duration{}) return Duration{};
-    return Duration(std::uniform_int_distribution<Duration::rep>(0, most.count())(random_));
+Duration FollowerConnection::jittered(Duration max) {
+    if (max <= Duration{}) return Duration{};
+    return Duration(std::uniform_int_distribution<Duration::rep>(0, max.count())(random_));
 }
 
 Duration FollowerConnection::backoff() const {
-    const Duration most = std::max(settings_.max_backoff, settings_.min_backoff);
-    return std::min<Duration>(settings_.min_backoff * (1 << std::min(failures_, kMaxBackoffDoublings)), most);
+    const Duration max = std::max(settings_.max_backoff, settings_.min_backoff);
+    return std::min<Duration>(settings_.min_backoff * (1 << std::min(failures_, kMaxBackoffDoublings)), max);
 }
 
 double FollowerConnection::tokens(Timestamp now) const {
     return tokens_ + std::chrono::duration<double>(now - tokens_at_).count() * settings_.attempts_per_s;
 }
 
-void FollowerConnection::attempt(Timestamp now) {
+void FollowerConnection::start_attempt(Timestamp now) {
     tokens_ = std::min(settings_.attempt_burst, tokens(now));
     tokens_at_ = now;
     if (tokens_ < 1) return;
-    const auto relay = back_to_ ? std::exchange(back_to_, std::nullopt) : choose(now);
+    const auto relay = relay_to_rejoin_ ? std::exchange(relay_to_rejoin_, std::nullopt) : choose_relay(now);
     if (!relay) return;
     tokens_ -= 1;
     ++attempts_;
-    at_ = relay;
+    position_ = relay;
     state_ = State::kConnecting;
     last_frame_ = now;
     schedule_return(now);
@@ -109,19 +109,18 @@
     return_at_ = now + settings_.return_to_nearest_after + jittered(settings_.return_to_nearest_after);
 }
 
-// The next attempt comes after the pause, and not at this relay for `avoid`.
-void FollowerConnection::lose(Timestamp now, Duration pause, Duration avoid) {
-    if (at_ && avoid > Duration{}) {
-        backoffs_[*at_].until = now + avoid;
-        backoffs_[*at_].asked = false;
+void FollowerConnection::end_connection(Timestamp now, Duration delay, Duration avoid) {
+    if (position_ && avoid > Duration{}) {
+        backoffs_[*position_].until = now + avoid;
+        backoffs_[*position_].is_requested = false;
     }
     state_ = State::kWaiting;
-    at_.reset();
+    position_.reset();
     on_lost_();
-    next_attempt_ = now + pause;
-    if (!came_from_) return;
-    back_to_ = std::exchange(came_from_, std::nullopt);
-    backoffs_.erase(*back_to_);
+    next_attempt_ = now + delay;
+    if (!left_relay_) return;
+    relay_to_rejoin_ = std::exchange(left_relay_, std::nullopt);
+    backoffs_.erase(*relay_to_rejoin_);
     next_attempt_ = now;
 }
 
@@ -129,33 +128,34 @@
     if (!started_) {
         started_ = true;
         tokens_at_ = now;
-        // Many processes start at once.
+        // Spreads the first attempts of processes that start at the same time.
         next_attempt_ = now + jittered(settings_.min_backoff);
     }
     if (state_ == State::kWaiting) {
-        if (now >= next_attempt_) attempt(now);
+        if (now >= next_attempt_) start_attempt(now);
         return false;
     }
     Duration timeout = settings_.frame_timeout;
     if (state_ != State::kFollowing) {
-        // One that was only asked to move must know within its lease whether the other relay takes it.
-        timeout = came_from_ ? std::min(settings_.greeting_timeout, settings_.lease * 2 / 5)
-                             : std::min(settings_.greeting_timeout, settings_.frame_timeout);
+        // A follower that was asked to leave is not fenced yet, and must learn before its lease ends whether
+        // the other relay accepts it.
+        timeout = left_relay_ ? std::min(settings_.greeting_timeout, settings_.lease * 2 / 5)
+                              : std::min(settings_.greeting_timeout, settings_.frame_timeout);
     }
     if (now - last_frame_ > timeout) {
-        callbacks_.on_event(EventKind::kFollower, "nothing came from the relay for too long");
+        callbacks_.on_event(EventKind::kFollower, "timed out waiting for a frame from the relay");
         callbacks_.disconnect();
         on_disconnected(now);
         return false;
     }
     if (state_ != State::kFollowing) return false;
-    const Duration stale =
-        settings_.heartbeat_timeout * (1 << std::min(moves_for_heartbeat_, kMaxHeartbeatDoublings));
-    if (now - last_heartbeat_ <= stale || settings_.relays.size() <= 1) return true;
-    ++moves_for_heartbeat_;
-    callbacks_.on_event(EventKind::kFollower, "the relay has had no beat for too long");
+    const Duration heartbeat_timeout =
+        settings_.heartbeat_timeout * (1 << std::min(heartbeat_moves_, kMaxHeartbeatDoublings));
+    if (now - last_heartbeat_ <= heartbeat_timeout || settings_.relays.size() <= 1) return true;
+    ++heartbeat_moves_;
+    callbacks_.on_event(EventKind::kFollower, "timed out waiting for a newer heartbeat from the relay");
     callbacks_.disconnect();
-    lose(now, jittered(settings_.max_backoff), stale + jittered(stale));
+    end_connection(now, jittered(settings_.max_backoff), heartbeat_timeout + jittered(heartbeat_timeout));
     return false;
 }
 
@@ -170,15 +170,15 @@
     if (state_ == State::kWaiting) return;
     const bool was_following = state_ == State::kFollowing;
     Duration avoid{};
-    if (at_) {
-        Backoff& backoff = backoffs_[*at_];
+    if (position_) {
+        Backoff& backoff = backoffs_[*position_];
         const int doublings = std::min(backoff.failures++, kMaxAvoidanceDoublings);
-        const Duration most = std::min<Duration>(kMinAvoidance * (1 << doublings), kMaxAvoidance);
-        avoid = most + jittered(most);
-        backoff.suspect = now + 2 * kMaxAvoidance + jittered(kMaxAvoidance);
+        const Duration min_avoid = std::min<Duration>(kMinAvoidance * (1 << doublings), kMaxAvoidance);
+        avoid = min_avoid + jittered(min_avoid);
+        backoff.suspect_until = now + 2 * kMaxAvoidance + jittered(kMaxAvoidance);
     }
     if (!was_following) ++failures_;
-    lose(now, jittered(backoff()), avoid);
+    end_connection(now, jittered(backoff()), avoid);
 }
 
 bool FollowerConnection::on_frame(Timestamp now) {
@@ -189,50 +189,52 @@
 
 void FollowerConnection::on_welcome() {
     state_ = State::kFollowing;
-    came_from_.reset();
+    left_relay_.reset();
     failures_ = 0;
-    backoffs_.erase(*at_);
+    backoffs_.erase(*position_);
 }
 
 void FollowerConnection::on_retry_later(Timestamp now, const Away& away) {
     const Duration after = std::chrono::milliseconds(away.after_ms);
     callbacks_.disconnect();
-    const std::size_t at = *at_;
+    const std::size_t relay = *position_;
     if (state_ == State::kFollowing) {
-        // Asked to leave for evenness alone, which it does without being fenced: it tries one other now.
-        lose(now, Duration{}, after + jittered(after));
-        backoffs_[at].failures = 0;
-        backoffs_[at].suspect = {};
-        came_from_ = at;
-        attempt(now);
+        // The relay asked it to leave only to balance load. It tries one other relay at once, while its lease
+        // is still valid.
+        end_connection(now, Duration{}, after + jittered(after));
+        backoffs_[relay].failures = 0;
+        backoffs_[relay].suspect_until = {};
+        left_relay_ = relay;
+        start_attempt(now);
         return;
     }
-    // Asked to wait, which is no failure: another may have capacity sooner.
-    lose(now, jittered(settings_.min_backoff) + settings_.min_backoff, after + jittered(after));
-    backoffs_[at].asked = true;
-    backoffs_[at].failures = 0;
-    backoffs_[at].suspect = backoffs_[at].until + kMaxAvoidance;
+    // A requested delay is not a failure: another relay may have capacity sooner.
+    end_connection(now, jittered(settings_.min_backoff) + settings_.min_backoff, after + jittered(after));
+    backoffs_[relay].is_requested = true;
+    backoffs_[relay].failures = 0;
+    backoffs_[relay].suspect_until = backoffs_[relay].until + kMaxAvoidance;
 }
 
 void FollowerConnection::on_fresh_heartbeat(Timestamp now) {
     last_heartbeat_ = now;
-    moves_for_heartbeat_ = 0;
+    heartbeat_moves_ = 0;
 }
 
 void FollowerConnection::abandon(Timestamp now, const std::string& reason, Duration avoid) {
     callbacks_.on_event(EventKind::kFollower, reason);
     callbacks_.disconnect();
     ++failures_;
-    lose(now, jittered(backoff()), avoid > Duration{} ? avoid / 2 + jittered(avoid / 2) : Duration{});
+    end_connection(now, jittered(backoff()),
+                   avoid > Duration{} ? avoid / 2 + jittered(avoid / 2) : Duration{});
 }
 
 void FollowerConnection::disconnect(Timestamp now) {
     callbacks_.disconnect();
-    lose(now, settings_.max_backoff + jittered(settings_.max_backoff), Duration{});
+    end_connection(now, settings_.max_backoff + jittered(settings_.max_backoff), Duration{});
 }
 
 bool FollowerConnection::may_return_to_nearest(Timestamp now) const {
-    return now > return_at_ && *at_ >= settings_.nearest_count;
+    return now > return_at_ && *position_ >= settings_.nearest_count;
 }
 
 bool FollowerConnection::return_to_nearest(Timestamp now) {
@@ -245,13 +247,13 @@
     }
     if (!may_try_one || tokens(now) < kTokensToReturn) return false;
     callbacks_.disconnect();
-    lose(now, Duration{}, Duration{});
+    end_connection(now, Duration{}, Duration{});
     return true;
 }
 
 std::optional<int> FollowerConnection::relay() const {
     if (state_ != State::kFollowing) return std::nullopt;
-    return settings_.relays[*at_];
+    return settings_.relays[*position_];
 }
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/follower_lease.cpp
+++ b/src/cluster/distribution/follower_lease.cpp
@@ -4,7 +4,7 @@
 
 FollowerLease::Outcome FollowerLease::on_heartbeat(Timestamp now, const Heartbeat& heartbeat,
                                                    LogIndex last_index) {
-    const Heartbeat& newest = waiting_.empty() ? current_ : waiting_.back();
+    const Heartbeat& newest = queued_.empty() ? current_ : queued_.back();
     const bool is_old = heartbeat.term == newest.term && heartbeat.at <= newest.at;
     if (heartbeat.term < newest_term_ || is_old) return Outcome::kStale;
     if (heartbeat.committed < newest.committed) return Outcome::kStale;
@@ -12,16 +12,16 @@
     if (heartbeat.committed < last_index && heartbeat.at > records_since_ + max_clock_skew_)
         return Outcome::kForeignHistory;
     newest_term_ = heartbeat.term;
-    if (waiting_.empty()) missing_since_ = now;
-    if (waiting_.size() == kMaxWaiting) waiting_.pop_back();
-    waiting_.push_back(heartbeat);
+    if (queued_.empty()) missing_since_ = now;
+    if (queued_.size() == kMaxQueued) queued_.pop_back();
+    queued_.push_back(heartbeat);
     return Outcome::kAccepted;
 }
 
 std::optional<Heartbeat> FollowerLease::take_usable(LogIndex last_index) {
-    if (waiting_.empty() || waiting_.front().committed > last_index) return std::nullopt;
-    current_ = waiting_.front();
-    waiting_.pop_front();
+    if (queued_.empty() || queued_.front().committed > last_index) return std::nullopt;
+    current_ = queued_.front();
+    queued_.pop_front();
     return current_;
 }
 
@@ -31,12 +31,12 @@
 
 void FollowerLease::reset(Timestamp now) {
     current_ = {};
-    waiting_.clear();
+    queued_.clear();
     records_since_ = now;
 }
 
 bool FollowerLease::is_missing_records(Timestamp now, Duration limit) const {
-    return !waiting_.empty() && now - missing_since_ > limit;
+    return !queued_.empty() && now - missing_since_ > limit;
 }
 
 }  // namespace linnetlead::distribution
--- a/src/cluster/distribution/follower_settings.h
+++ b/src/cluster/distribution/follower_settings.h
@@ -1,4 +1,5 @@
-// What a follower of a relay is configured with, and what it asks of the process around it.
+// Settings of a follower, and the callbacks by which it uses the connections and the log of its
+// process. The gateway and the relay program fill both in and pass them to Follower.
 #pragma once
 
 #include <functional>
@@ -12,56 +13,59 @@
 
 struct FollowerSettings {
     Role role = Role::kGateway;
-    std::string name;         // as relays report it
-    std::vector<int> relays;  // by number, the nearest first: of its zone, of its region, all others
-    // So many of `relays` are equally near; one of these is tried first.
+    std::string name;         // the name by which relays report it
+    std::vector<int> relays;  // numbers, nearest first: those of its zone, of its region, all others
+    // The first so many of `relays` are equally near; one of them is tried first.
     std::size_t nearest_count = 1;
     std::uint64_t seed = 0;
-    // A heartbeat allows acting on the active state for so long.
+    // How long a heartbeat allows acting on the active state.
     Duration lease = std::chrono::milliseconds(2000);
-    // Clocks of two machines differ by this at most.
+    // Largest difference between the clocks of two machines.
     Duration max_clock_skew = std::chrono::milliseconds(350);
-    // Without any frame for so long, the relay counts as gone.
+    // The connection is closed after so long without any frame.
     Duration frame_timeout = std::chrono::milliseconds(2500);
-    // From an attempt to connect until the relay's first frame.
+    // Limit on connecting, and then on each wait for a frame until the relay's welcome.
     Duration greeting_timeout = std::chrono::milliseconds(1500);
-    // Between attempts: doubles with each failure, drawn from zero to the bound (full jitter).
+    // Between attempts: drawn from zero to a limit (full jitter) that doubles with each failure.
     Duration min_backoff = std::chrono::milliseconds(200);
     Duration max_backoff = std::chrono::milliseconds(2000);
-    // Budget of connection attempts: a token bucket.
+    // Token bucket that limits connection attempts.
     double attempts_per_s = 0.7;
     double attempt_burst = 3;
-    // An acknowledgement that says something new is sent at most so often; any is sent at least so often.
+    // Least time before a changed acknowledgement; longest time without any.
     Duration ack_interval = std::chrono::milliseconds(200);
     Duration max_ack_interval = std::chrono::milliseconds(2000);
-    // Without a newer heartbeat for so long, though frames come, another relay may have one. With jitter, and
-    // doubled with each such move that did not help, up to eight times.
+    // After so long without a newer heartbeat, although frames arrive, the follower tries another relay, and
+    // avoids this one for as long again plus jitter. Doubles with each successive change of relay that did
+    // not help, up to eight times this.
     Duration heartbeat_timeout = std::chrono::milliseconds(4000);
-    // At a relay that is not among the nearest, until one of those is tried; up to as long again by jitter.
+    // How long it stays at a relay that is not among the nearest before it tries one of those; jitter adds up
+    // to as much again.
     Duration return_to_nearest_after = std::chrono::seconds(120);
-    // Bytes of records that are not active yet.
+    // Limit on records that are not active yet; beyond it the follower closes the connection.
     std::size_t max_pending_bytes = 16 * 1024 * 1024;
-    // Of a relay: decided records kept for its own followers.
+    // For a relay: applied records that it keeps for its own followers.
     History::Retention retention;
 };
 
-// All are called from within the follower's own calls. Those marked optional may be empty.
+// All run within calls of the follower's methods. Those marked optional may be empty.
 struct FollowerCallbacks {
     std::function<void(int relay)> connect;  // answered by on_connected() or on_disconnected()
-    // Ends the connection or the attempt at hand; on_disconnected() need not follow.
+    // Closes the current connection or attempt; on_disconnected() need not follow.
     std::function<void()> disconnect;
-    std::function<void(const Frame&)> send;  // on the connection at hand
-    // Positions of the change's edits that cannot be acted on here. Optional; a relay has none.
+    std::function<void(const Frame&)> send;  // on the current connection
+    // Positions of the change's edits that this gateway does not support. Optional; a relay leaves it empty.
     std::function<std::vector<std::size_t>(const Change&)> unsupported_edits;
-    // These keys have other values in store() from now on; with `all_keys`, any may have. Optional.
+    // The values of these keys in store() have changed; with `all_keys`, any may have. Optional.
     std::function<void(Revision revision, const std::vector<std::string>& keys, bool all_keys)> on_active;
     std::function<void(bool fenced)> on_fenced;  // on each change; optional
-    // For a relay that passes on what it follows; all optional. The record, or the heartbeat, is new here.
+    // The next four are for a relay that forwards what it receives; all optional. The record or heartbeat is
+    // new.
     std::function<void(const Record&)> on_record;
     std::function<void(const Heartbeat&)> on_heartbeat;
-    // store() is another state, and the records before it are void.
+    // store() has been replaced, and the records before it are void.
     std::function<void()> on_state_replaced;
-    // What the relay's own followers acknowledged, for its acknowledgement; empty for a gateway.
+    // The acknowledgements of the relay's own followers, combined; empty for a gateway.
     std::function<Ack()> downstream_acknowledgements;
     std::function<void(EventKind kind, const std::string& text)> on_event;  // optional
 };
--- a/src/cluster/distribution/frames.cpp
+++ b/src/cluster/distribution/frames.cpp
@@ -6,163 +6,165 @@
 
 namespace linnetlead::distribution {
 
-using wire_form::blob;
 using wire_form::Fields;
 using wire_form::json;
+using wire_form::to_binary;
 
 namespace {
 
-constexpr std::size_t kMaxName = 128;
+constexpr std::size_t kMaxNameBytes = 128;
 constexpr std::size_t kMaxCounts = 64;
-constexpr std::size_t kMaxWords = 256 * 1024;
-constexpr std::size_t kMaxPiece = 4 * 1024 * 1024;  // unpacked
+constexpr std::size_t kMaxMessageBytes = 256 * 1024;
+constexpr std::size_t kMaxErrorBytes = 4096;
+constexpr std::size_t kMaxIdleBufferBytes = 64 * 1024;  // kept between frames; a larger buffer is released
+constexpr std::size_t kMaxEntriesBytes = 4 * 1024 * 1024;
 
-// As they stand on the wire.
-enum class Kind : unsigned {
+// Wire codes of the frames.
+enum class FrameKind : unsigned {
     kHello = 1,
     kAck,
     kSubmit,
-    kAsk,
+    kStateRequest,
     kWelcome,
-    kAway,
+    kRetryLater,
     kRecords,
     kLease,
-    kChunk,
+    kSnapshotChunk,
     kAnswer,
     kError,
     kVoter,
 };
 
-unsigned place(Kind kind) { return static_cast<unsigned>(kind); }
-unsigned place(Rejection rejection) { return static_cast<unsigned>(rejection); }
+unsigned code(FrameKind kind) { return static_cast<unsigned>(kind); }
+unsigned code(Rejection rejection) { return static_cast<unsigned>(rejection); }
 
-json form_of(const Hello& hello) {
-    return json::array({place(Kind::kHello), static_cast<unsigned>(hello.version),
+json encode(const Hello& hello) {
+    return json::array({code(FrameKind::kHello), static_cast<unsigned>(hello.version),
                         static_cast<unsigned>(hello.role), hello.name, hello.last_index, hello.last_term,
                         hello.applied_index, hello.needs_full_state ? 1U : 0U});
 }
 
-json form_of(const Ack& ack) {
-    json form =
-        json::array({place(Kind::kAck), ack.last_index, ack.activation_index, ack.gateways, ack.fenced});
-    if (ack.replicated.empty() && ack.unsupported.empty()) return form;
-    json holding = json::array();
+json encode(const Ack& ack) {
+    json array =
+        json::array({code(FrameKind::kAck), ack.last_index, ack.activation_index, ack.gateways, ack.fenced});
+    if (ack.replicated.empty() && ack.unsupported.empty()) return array;
+    json replicated = json::array();
     for (const ReplicationCount& each : ack.replicated) {
-        holding.push_back(each.through_index);
-        holding.push_back(each.gateways);
+        replicated.push_back(each.through_index);
+        replicated.push_back(each.gateways);
     }
-    form.push_back(std::move(holding));
-    json cannot = json::array();
+    array.push_back(std::move(replicated));
+    json unsupported = json::array();
     for (const UnsupportedCount& each : ack.unsupported) {
-        cannot.push_back(json::array({each.change, each.gateways, each.gateway_names}));
+        unsupported.push_back(json::array({each.change, each.gateways, each.gateway_names}));
     }
-    form.push_back(std::move(cannot));
-    return form;
+    array.push_back(std::move(unsupported));
+    return array;
 }
 
-json form_of(const Submit& submit) {
-    return json::array({place(Kind::kSubmit), submit.request, wire_form::change_form(submit.change)});
+json encode(const Submit& submit) {
+    return json::array({code(FrameKind::kSubmit), submit.request, wire_form::change_form(submit.change)});
 }
 
-json form_of(const Ask& ask) { return json::array({place(Kind::kAsk), ask.request}); }
+json encode(const Ask& ask) { return json::array({code(FrameKind::kStateRequest), ask.request}); }
 
-json form_of(const Welcome& welcome) {
-    return json::array({place(Kind::kWelcome), welcome.relay, welcome.region});
+json encode(const Welcome& welcome) {
+    return json::array({code(FrameKind::kWelcome), welcome.relay, welcome.region});
 }
 
-json form_of(const Away& away) {
-    return json::array({place(Kind::kAway), away.after_ms, place(away.reason)});
+json encode(const Away& away) {
+    return json::array({code(FrameKind::kRetryLater), away.after_ms, code(away.reason)});
 }
 
-json form_of(const Records& records) {
-    json each = json::array();
+json encode(const Records& records) {
+    json encoded = json::array();
     for (const Record& record : records.records) {
-        each.push_back(json::array({record.index, record.term, blob(encode_record_body(record))}));
+        encoded.push_back(json::array({record.index, record.term, to_binary(encode_record_body(record))}));
     }
-    return json::array({place(Kind::kRecords), std::move(each)});
+    return json::array({code(FrameKind::kRecords), std::move(encoded)});
 }
 
-json form_of(const Lease& lease) {
-    return json::array(
-        {place(Kind::kLease), lease.heartbeat.term, lease.heartbeat.at.count(), lease.heartbeat.committed});
+json encode(const Lease& lease) {
+    return json::array({code(FrameKind::kLease), lease.heartbeat.term, lease.heartbeat.at.count(),
+                        lease.heartbeat.committed});
 }
 
-json form_of(const SnapshotChunk& piece) {
-    return json::array({place(Kind::kChunk), piece.last_included_index, piece.since_revision,
-                        piece.last_included_term, piece.sequence, piece.is_last ? 1U : 0U, piece.hash,
-                        piece.tombstones_since, piece.activated_at.count(), piece.activation_index,
-                        piece.revision, blob(compress_entries(piece.entries))});
+json encode(const SnapshotChunk& chunk) {
+    return json::array({code(FrameKind::kSnapshotChunk), chunk.last_included_index, chunk.since_revision,
+                        chunk.last_included_term, chunk.sequence, chunk.is_last ? 1U : 0U, chunk.hash,
+                        chunk.tombstones_since, chunk.activated_at.count(), chunk.activation_index,
+                        chunk.revision, to_binary(compress_entries(chunk.entries))});
 }
 
-json form_of(const Answer& answer) {
+json encode(const Answer& answer) {
     return json::array(
-        {place(Kind::kAnswer), answer.request, place(answer.rejection), answer.revision, answer.message});
+        {code(FrameKind::kAnswer), answer.request, code(answer.rejection), answer.revision, answer.message});
 }
 
-json form_of(const Error& error) {
-    return json::array({place(Kind::kError), place(error.rejection), error.message});
+json encode(const Error& error) {
+    return json::array({code(FrameKind::kError), code(error.rejection), error.message});
 }
 
-json form_of(const Voter& voter) {
-    return json::array({place(Kind::kVoter), voter.from, blob(voter.message)});
+json encode(const Voter& voter) {
+    return json::array({code(FrameKind::kVoter), voter.from, to_binary(voter.message)});
 }
 
-Rejection rejection_of(Fields& fields) {
+Rejection read_rejection(Fields& fields) {
     return static_cast<Rejection>(fields.number(static_cast<unsigned>(Rejection::kTooManyFollowers)));
 }
 
-bool read_ack(Fields& fields, Ack& ack) {
+bool decode_ack(Fields& fields, Ack& ack) {
     ack.last_index = fields.number();
     ack.activation_index = fields.number();
     ack.gateways = static_cast<std::uint32_t>(fields.number(~std::uint32_t{0}));
     ack.fenced = static_cast<std::uint32_t>(fields.number(~std::uint32_t{0}));
     if (!fields.more()) return fields.ok();
-    Fields holding(fields.array(2 * kMaxCounts));
-    while (holding.more()) {
+    Fields replicated(fields.array(2 * kMaxCounts));
+    while (replicated.more()) {
         ReplicationCount each;
-        each.through_index = holding.number();
-        each.gateways = static_cast<std::uint32_t>(holding.number(~std::uint32_t{0}));
+        each.through_index = replicated.number();
+        each.gateways = static_cast<std::uint32_t>(replicated.number(~std::uint32_t{0}));
         ack.replicated.push_back(each);
     }
-    for (const json& form : fields.array(kMaxCounts)) {
-        Fields of(form);
+    for (const json& array : fields.array(kMaxCounts)) {
+        Fields item(array);
         UnsupportedCount each;
-        each.change = of.number();
-        each.gateways = static_cast<std::uint32_t>(of.number(~std::uint32_t{0}));
-        Fields names(of.array(kMaxReportedNames));
-        while (names.more()) each.gateway_names.push_back(names.text(kMaxName));
-        if (!of.done() || !names.ok()) return false;
+        each.change = item.number();
+        each.gateways = static_cast<std::uint32_t>(item.number(~std::uint32_t{0}));
+        Fields names(item.array(kMaxReportedNames));
+        while (names.more()) each.gateway_names.push_back(names.text(kMaxNameBytes));
+        if (!item.done() || !names.ok()) return false;
         ack.unsupported.push_back(std::move(each));
     }
-    return fields.ok() && holding.ok();
+    return fields.ok() && replicated.ok();
 }
 
-bool read_records(Fields& fields, Records& records) {
-    for (const json& form : fields.array(kMaxFrameBytes)) {
-        Fields of(form);
-        const LogIndex number = of.number();
-        const std::uint64_t term = of.number();
-        auto record = decode_record_body(of.bytes(kMaxFrameBytes));
-        if (!of.done() || !record || number == 0) return false;
-        record->index = number;
+bool decode_records(Fields& fields, Records& records) {
+    for (const json& array : fields.array(kMaxFrameBytes)) {
+        Fields item(array);
+        const LogIndex index = item.number();
+        const std::uint64_t term = item.number();
+        auto record = decode_record_body(item.bytes(kMaxFrameBytes));
+        if (!item.done() || !record || index == 0) return false;
+        record->index = index;
         record->term = term;
         records.records.push_back(std::move(*record));
     }
     return !records.records.empty();
 }
 
-std::optional<Frame> read(std::string_view bytes) {
-    const auto form = wire_form::read_array(bytes);
-    if (!form) return std::nullopt;
-    Fields fields(*form);
+std::optional<Frame> decode(std::string_view bytes) {
+    const auto array = wire_form::read_array(bytes);
+    if (!array) return std::nullopt;
+    Fields fields(*array);
     Frame frame;
-    bool good = true;
-    switch (static_cast<Kind>(fields.number(place(Kind::kVoter)))) {
-        case Kind::kHello: {
+    bool is_valid = true;
+    switch (static_cast<FrameKind>(fields.number(code(FrameKind::kVoter)))) {
+        case FrameKind::kHello: {
             Hello hello;
             hello.version = static_cast<int>(fields.number(1000));
             hello.role = static_cast<Role>(fields.number(static_cast<unsigned>(Role::kTool)));
-            hello.name = fields.text(kMaxName);
+            hello.name = fields.text(kMaxNameBytes);
             hello.last_index = fields.number();
             hello.last_term = fields.number();
             hello.applied_index = fields.number();
@@ -170,44 +172,44 @@
             frame = std::move(hello);
             break;
         }
-        case Kind::kAck: {
+        case FrameKind::kAck: {
             Ack ack;
-            good = read_ack(fields, ack);
+            is_valid = decode_ack(fields, ack);
             frame = std::move(ack);
             break;
         }
-        case Kind::kSubmit: {
+        case FrameKind::kSubmit: {
             Submit submit;
             submit.request = fields.number();
             Fields change(fields.array(4));
-            good = wire_form::read_change(change, submit.change) && change.done();
+            is_valid = wire_form::read_change(change, submit.change) && change.done();
             frame = std::move(submit);
             break;
         }
-        case Kind::kAsk:
+        case FrameKind::kStateRequest:
             frame = Ask{fields.number()};
             break;
-        case Kind::kWelcome: {
+        case FrameKind::kWelcome: {
             Welcome welcome;
-            welcome.relay = fields.text(kMaxName);
+            welcome.relay = fields.text(kMaxNameBytes);
             welcome.region = static_cast<int>(fields.number(1000000));
             frame = std::move(welcome);
             break;
         }
-        case Kind::kAway: {
+        case FrameKind::kRetryLater: {
             Away away;
             away.after_ms = static_cast<std::int64_t>(fields.number(3600 * 1000));
-            away.reason = rejection_of(fields);
+            away.reason = read_rejection(fields);
             frame = away;
             break;
         }
-        case Kind::kRecords: {
+        case FrameKind::kRecords: {
             Records records;
-            good = read_records(fields, records);
+            is_valid = decode_records(fields, records);
             frame = std::move(records);
             break;
         }
-        case Kind::kLease: {
+        case FrameKind::kLease: {
             Lease lease;
             lease.heartbeat.term = fields.number();
             lease.heartbeat.at = fields.time();
@@ -215,39 +217,39 @@
             frame = lease;
             break;
         }
-        case Kind::kChunk: {
-            SnapshotChunk piece;
-            piece.last_included_index = fields.number();
-            piece.since_revision = fields.number();
-            piece.last_included_term = fields.number();
-            piece.sequence = fields.number();
-            piece.is_last = fields.number(1) == 1;
-            piece.hash = fields.number();
-            piece.tombstones_since = fields.number();
-            piece.activated_at = fields.time();
-            piece.activation_index = fields.number();
-            piece.revision = fields.number();
-            good = decompress_entries(fields.bytes(kMaxFrameBytes), piece.entries);
-            frame = std::move(piece);
+        case FrameKind::kSnapshotChunk: {
+            SnapshotChunk chunk;
+            chunk.last_included_index = fields.number();
+            chunk.since_revision = fields.number();
+            chunk.last_included_term = fields.number();
+            chunk.sequence = fields.number();
+            chunk.is_last = fields.number(1) == 1;
+            chunk.hash = fields.number();
+            chunk.tombstones_since = fields.number();
+            chunk.activated_at = fields.time();
+            chunk.activation_index = fields.number();
+            chunk.revision = fields.number();
+            is_valid = decompress_entries(fields.bytes(kMaxFrameBytes), chunk.entries);
+            frame = std::move(chunk);
             break;
         }
-        case Kind::kAnswer: {
+        case FrameKind::kAnswer: {
             Answer answer;
             answer.request = fields.number();
-            answer.rejection = rejection_of(fields);
+            answer.rejection = read_rejection(fields);
             answer.revision = fields.number();
-            answer.message = fields.text(kMaxWords);
+            answer.message = fields.text(kMaxMessageBytes);
             frame = std::move(answer);
             break;
         }
-        case Kind::kError: {
+        case FrameKind::kError: {
             Error error;
-            error.rejection = rejection_of(fields);
-            error.message = fields.text(4096);
+            error.rejection = read_rejection(fields);
+            error.message = fields.text(kMaxErrorBytes);
             frame = std::move(error);
             break;
         }
-        case Kind::kVoter: {
+        case FrameKind::kVoter: {
             Voter voter;
             voter.from = static_cast<int>(fields.number(1000));
             voter.message = std::string(fields.bytes(kMaxFrameBytes));
@@ -257,27 +259,27 @@
         default:
             return std::nullopt;
     }
-    if (!good || !fields.done()) return std::nullopt;
+    if (!is_valid || !fields.done()) return std::nullopt;
     return frame;
 }
 
 }  // namespace
 
 std::string compress_entries(const std::vector<SnapshotChunk::Entry>& entries) {
-    std::string text;
+    std::string entry_bytes;
     for (const auto& entry : entries) {
-        wire_form::put_text(text, entry.key);
-        wire_form::put_number(text, entry.value ? entry.value->size() + 1 : 0);
-        if (entry.value) text += *entry.value;
-        wire_form::put_number(text, entry.revision);
+        wire_form::put_text(entry_bytes, entry.key);
+        wire_form::put_number(entry_bytes, entry.value ? entry.value->size() + 1 : 0);
+        if (entry.value) entry_bytes += *entry.value;
+        wire_form::put_number(entry_bytes, entry.revision);
     }
-    return storage::compress(text);
+    return storage::compress(entry_bytes);
 }
 
-bool decompress_entries(std::string_view packed, std::vector<SnapshotChunk::Entry>& entries) {
-    const auto text = storage::decompress(packed, kMaxPiece);
-    if (!text) return false;
-    for (std::string_view rest = *text; !rest.empty();) {
+bool decompress_entries(std::string_view compressed, std::vector<SnapshotChunk::Entry>& entries) {
+    const auto entry_bytes = storage::decompress(compressed, kMaxEntriesBytes);
+    if (!entry_bytes) return false;
+    for (std::string_view rest = *entry_bytes; !rest.empty();) {
         SnapshotChunk::Entry entry;
         std::string_view key;
         std::uint64_t size = 0;
@@ -300,11 +302,11 @@
     if (const auto* records = std::get_if<Records>(&frame)) {
         if (records->encoded) return *records->encoded;
     }
-    if (const auto* piece = std::get_if<SnapshotChunk>(&frame)) {
-        if (piece->encoded) return *piece->encoded;
+    if (const auto* chunk = std::get_if<SnapshotChunk>(&frame)) {
+        if (chunk->encoded) return *chunk->encoded;
     }
     const std::string body =
-        agreement::write_cbor(std::visit([](const auto& each) { return form_of(each); }, frame));
+        agreement::write_cbor(std::visit([](const auto& each) { return encode(each); }, frame));
     std::string out;
     out.reserve(4 + body.size());
     for (int shift = 24; shift >= 0; shift -= 8) out.push_back(static_cast<char>(body.size() >> shift));
@@ -313,30 +315,30 @@
 }
 
 FrameReader::State FrameReader::take(std::string_view& bytes, Frame& frame, Rejection& rejection) {
-    const auto wrong = [&](Rejection why) {
-        rejection = why;
+    const auto reject = [&](Rejection reason) {
+        rejection = reason;
         bytes = {};
         buffer_.clear();
         return State::kWrong;
     };
-    const auto hold = [&](std::size_t size) {
+    const auto buffer_bytes = [&](std::size_t size) {
         size = std::min(size, bytes.size());
         buffer_.append(bytes.substr(0, size));
         bytes.remove_prefix(size);
     };
-    if (buffer_.size() < 4) hold(4 - buffer_.size());
+    if (buffer_.size() < 4) buffer_bytes(4 - buffer_.size());
     if (buffer_.size() < 4) return State::kPartial;
     std::size_t size = 0;
     for (int i = 0; i < 4; ++i) size = size << 8 | static_cast<unsigned char>(buffer_[i]);
-    if (size == 0) return wrong(Rejection::kMalformed);
-    if (size > max_frame_bytes_) return wrong(Rejection::kTooLarge);
-    hold(4 + size - buffer_.size());
+    if (size == 0) return reject(Rejection::kMalformed);
+    if (size > max_frame_bytes_) return reject(Rejection::kTooLarge);
+    buffer_bytes(4 + size - buffer_.size());
     if (buffer_.size() < 4 + size) return State::kPartial;
-    auto read_frame = read(std::string_view(buffer_).substr(4));
-    if (!read_frame) return wrong(Rejection::kMalformed);
-    frame = std::move(*read_frame);
+    auto decoded = decode(std::string_view(buffer_).substr(4));
+    if (!decoded) return reject(Rejection::kMalformed);
+    frame = std::move(*decoded);
     buffer_.clear();
-    if (buffer_.capacity() > 64 * 1024) buffer_.shrink_to_fit();
+    if (buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
     return State::kFrame;
 }
 
--- a/src/cluster/distribution/frames.h
+++ b/src/cluster/distribution/frames.h
@@ -1,6 +1,7 @@
-// What relays and gateways say to each other on a connection: frames of a length (4 bytes, big-endian) and a
-// CBOR array. A frame that is none, is over its bound or comes from the wrong side is answered by an `error`
-// frame with words of its own, and the connection ends; nothing else stops. No I/O.
+// The frames that relays, gateways and command-line tools exchange on a connection, and their encoding: a
+// length (4 bytes, big-endian) followed by a CBOR array. Follower, Relay and the transport use it. A frame
+// that is malformed, too large or sent by the wrong side is answered by an `error` frame that names the
+// fault, and the connection is closed; nothing else is affected. No I/O.
 #pragma once
 
 #include <memory>
@@ -12,103 +13,119 @@
 
 constexpr std::size_t kMaxFrameBytes = 2 * 1024 * 1024;
 constexpr int kProtocolVersion = 1;
-constexpr std::size_t kMaxReportedNames = 4;  // told of those that cannot take a change
+constexpr std::size_t kMaxReportedNames = 4;  // gateways named per unsupported change
 
 enum class Role { kGateway, kRelay, kTool };
 
-// ---- up ----
+// ---- from a follower, gateway or tool to a relay ----
+
+// The first frame on a connection.
 struct Hello {
     int version = kProtocolVersion;
     Role role = Role::kGateway;
     std::string name;
-    LogIndex last_index = 0;      // the last record that it holds; 0: nothing
+    LogIndex last_index = 0;      // of the last record held; 0: none
     std::uint64_t last_term = 0;  // of that record
-    LogIndex applied_index =
-        0;  // its state in force is that of this number; all behind it up to `position` are records
-    bool needs_full_state = false;  // what it holds is of no use: the whole state, whatever the above say
+    // The active state includes all records up to this index; later ones up to `last_index` are held as
+    // records.
+    LogIndex applied_index = 0;
+    // The held state is unusable: the relay sends a full state, whatever the fields above say.
+    bool needs_full_state = false;
 };
-// What a follower and those behind it hold: counts and a few names, whatever the size of what is behind it.
+// How many of the gateways at and below a follower do not support a change.
 struct UnsupportedCount {
     LogIndex change = 0;
-    std::uint32_t gateways = 0;              // gateways that cannot take some of its keys
-    std::vector<std::string> gateway_names;  // of some of them
+    std::uint32_t gateways = 0;              // gateways that do not support some of its edits
+    std::vector<std::string> gateway_names;  // of at most kMaxReportedNames of them
 };
+// How many gateways hold all records up to an index, but not up to the index of the next newer entry.
 struct ReplicationCount {
-    LogIndex through_index = 0;  // so many gateways hold all records up to here (and not the next such)
+    LogIndex through_index = 0;
     std::uint32_t gateways = 0;
 };
+// What a follower, and the gateways below it, have received and activated. Counts and a few names only, so
+// that its size does not depend on how many gateways there are.
 struct Ack {
     LogIndex last_index = 0;
-    LogIndex activation_index = 0;              // the newest settlement that is in force with it
-    std::uint32_t gateways = 0;                 // there are behind it (a gateway: itself)
-    std::uint32_t fenced = 0;                   // of them
-    std::vector<ReplicationCount> replicated;   // newest first; 64 at most, the rest is in the last
-    std::vector<UnsupportedCount> unsupported;  // of changes not settled; 64 at most
+    LogIndex activation_index = 0;              // the newest activation record that took effect
+    std::uint32_t gateways = 0;                 // below this follower (a gateway counts itself)
+    std::uint32_t fenced = 0;                   // of these gateways
+    std::vector<ReplicationCount> replicated;   // newest first, at most 64; the last includes all older ones
+    std::vector<UnsupportedCount> unsupported;  // of changes that are not active yet; at most 64
 };
+// Submits a change; a relay forwards it to the leader.
 struct Submit {
-    std::uint64_t request = 0;  // drawn by who asks; comes back in the answer
+    std::uint64_t request = 0;  // chosen by the sender and repeated in the answer
     Change change;
 };
-struct Ask {  // for the relay's state, in words for people (JSON)
+// Asks for the relay's state, which the answer's message describes as JSON.
+struct Ask {
     std::uint64_t request = 0;
 };
 
-// ---- down ----
+// ---- from a relay to a follower, gateway or tool ----
+
+// Accepts a follower.
 struct Welcome {
     std::string relay;
     int region = 0;
 };
-// Not here, or not now: come again after this, at this relay or another.
+// Refuses a follower, or asks it to leave: it may try this relay again after the delay, or another at once.
 struct Away {
     std::int64_t after_ms = 0;
     Rejection reason = Rejection::kTooManyFollowers;
 };
 struct Records {
-    std::vector<Record> records;  // follow one another, and what the follower holds
-    // write() gives this where it is there: the same records go to hundreds of followers.
+    std::vector<Record> records;  // contiguous, and contiguous with what the follower holds
+    // If set, write() returns these bytes: the same records go to hundreds of followers.
     std::shared_ptr<const std::string> encoded;
 };
+// Renews the follower's lease.
 struct Lease {
     Heartbeat heartbeat;
 };
-// The state at `number` for a follower that is too far behind: values changed behind `since`, whole once all
-// pieces are there; a follower adopts it then at once, and goes on with the records behind it. The state may
-// go on while pieces are on their way: number, term, hash and what is in force are those of the last piece;
-// of a key that comes twice, the later counts.
+// Part of a snapshot for a follower that is too far behind for records: the entries that changed after
+// `since_revision`. The follower installs the snapshot in one step when all chunks have arrived, and
+// continues with the records after it. The state may change while chunks are being sent: index, term, hash
+// and activation are those of the last chunk, and if a key occurs more than once, the last entry is the valid
+// one.
 struct SnapshotChunk {
-    LogIndex last_included_index = 0,
-             since_revision = 0;  // since 0: the whole state, nothing of its own stays
+    // `since_revision` 0: a full state that replaces the follower's own.
+    LogIndex last_included_index = 0, since_revision = 0;
     std::uint64_t last_included_term = 0;
     std::uint64_t sequence = 0;  // from 0
     bool is_last = false;
-    std::uint64_t hash = 0;  // of the last: of the state that results
+    std::uint64_t hash = 0;  // in the last chunk: of the resulting state
     struct Entry {
         std::string key;
         std::optional<std::string> value;
         LogIndex revision = 0;
     };
-    std::vector<Entry> entries;     // zstd on the wire
-    Timestamp activated_at{};       // of the last settlement within
-    LogIndex activation_index = 0;  // that settlement
-    LogIndex revision = 0;          // the newest change within
-    // Keys taken away since this number are all among the entries or known from before.
+    std::vector<Entry> entries;     // compressed with zstd on the wire
+    Timestamp activated_at{};       // of the last activation included
+    LogIndex activation_index = 0;  // of that activation
+    LogIndex revision = 0;          // the newest change included
+    // All removals after this index are among the entries or already known to the follower.
     LogIndex tombstones_since = 0;
-    std::shared_ptr<const std::string> encoded;  // as in Records
+    std::shared_ptr<const std::string> encoded;  // see Records
 };
+// Answers a Submit or Ask.
 struct Answer {
     std::uint64_t request = 0;
     Rejection rejection = Rejection::kNone;
-    LogIndex revision = 0;  // of the change, once it counts; or of the state
+    LogIndex revision = 0;  // of the committed change, or of the reported state
     std::string message;
 };
 
-// ---- either ----
+// ---- in either direction ----
+
+// Tells the peer why the connection is being closed.
 struct Error {
     Rejection rejection = Rejection::kMalformed;
     std::string message;
 };
 
-// Between voters: a quorum's message, as it is.
+// A consensus message between voters, passed on unchanged. An empty message is a keepalive.
 struct Voter {
     int from = 0;
     std::string message;
@@ -117,15 +134,15 @@
 using Frame =
     std::variant<Hello, Ack, Submit, Ask, Welcome, Away, Records, Lease, SnapshotChunk, Answer, Error, Voter>;
 
-// With the length in front.
+// The encoded frame, including its length prefix.
 std::string write(const Frame& frame);
 
-// Takes bytes as they come.
+// Decodes frames from a byte stream that arrives in parts of any size.
 class FrameReader {
 public:
-    explicit FrameReader(std::size_t most = kMaxFrameBytes) : max_frame_bytes_(most) {}
+    explicit FrameReader(std::size_t max_frame_bytes = kMaxFrameBytes) : max_frame_bytes_(max_frame_bytes) {}
     enum class State { kPartial, kFrame, kWrong };
-    // Takes what belongs to the next frame; call again until partial.
+    // Consumes the bytes of the next frame; call it until it returns kPartial. On kWrong, sets `rejection`.
     State take(std::string_view& bytes, Frame& frame, Rejection& rejection);
     std::size_t buffered_bytes() const { return buffer_.size(); }
 
--- a/src/cluster/distribution/json_frames.cpp
+++ b/src/cluster/distribution/json_frames.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 constexpr int kMaxDepth = 6;
-constexpr std::size_t kPackedFrom = 1024;
+constexpr std::size_t kMinCompressedBytes = 1024;
 constexpr std::size_t kMaxEditsBytes = 2 * kMaxChangeBytes;
 
-// Goes over the bytes without reading them: false where something is cut off, nested too deep, or of a kind
-// that no frame has (maps, tags, lengths left open).
+// Scans CBOR without decoding it. False if it is truncated, nested too deeply, or has a type that no frame
+// uses (maps, tags, floating point, indefinite lengths).
 bool is_shallow(std::string_view bytes) {
     std::uint64_t left[kMaxDepth + 1] = {1};
     int depth = 0;
@@ -56,30 +56,32 @@
 }
 
 json change_form(const Change& change) {
-    // Thousands of keys are many values to the library, and much alike to zstd.
+    // The edits are one byte string: thousands of keys would be as many JSON values, and similar keys
+    // compress well together.
     std::string edits;
     for (const Edit& edit : change.edits) {
         put_text(edits, edit.key);
         put_number(edits, edit.value ? edit.value->size() + 1 : 0);
         if (edit.value) edits += *edit.value;
     }
-    const bool packed = edits.size() > kPackedFrom;
-    return json::array(
-        {change.id, change.base_revision, packed ? 1U : 0U, blob(packed ? storage::compress(edits) : edits)});
+    const bool is_compressed = edits.size() > kMinCompressedBytes;
+    return json::array({change.id, change.base_revision, is_compressed ? 1U : 0U,
+                        to_binary(is_compressed ? storage::compress(edits) : edits)});
 }
 
 bool read_change(Fields& fields, Change& change) {
-    // A little over the bounds is still read, for an answer that names the bound.
+    // The limits here are up to four times those of a change, so that check() can reject a change that is
+    // slightly too large with an answer that names the limit.
     change.id = fields.text(4 * kMaxIdBytes);
     change.base_revision = fields.number();
-    const bool packed = fields.number(1) == 1;
+    const bool is_compressed = fields.number(1) == 1;
     std::string_view bytes = fields.bytes(kMaxEditsBytes);
     if (!fields.ok()) return false;
-    Result<std::string> text;
-    if (packed) {
-        text = storage::decompress(bytes, kMaxEditsBytes);
-        if (!text) return false;
-        bytes = *text;
+    Result<std::string> decompressed;
+    if (is_compressed) {
+        decompressed = storage::decompress(bytes, kMaxEditsBytes);
+        if (!decompressed) return false;
+        bytes = *decompressed;
     }
     while (!bytes.empty()) {
         Edit edit;
@@ -119,9 +121,9 @@
     out.append(text);
 }
 
-bool take_text(std::string_view& bytes, std::string_view& text, std::size_t most) {
+bool take_text(std::string_view& bytes, std::string_view& text, std::size_t max_bytes) {
     std::uint64_t size = 0;
-    if (!take_number(bytes, size) || size > most || size > bytes.size()) return false;
+    if (!take_number(bytes, size) || size > max_bytes || size > bytes.size()) return false;
     text = bytes.substr(0, size);
     bytes.remove_prefix(size);
     return true;
--- a/src/cluster/distribution/resource_store.cpp
+++ b/src/cluster/distribution/resource_store.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Of an entry: the number, the value's length or that there is none, the key's length or that it is garbage.
-constexpr std::size_t kHeadSize = 11;
+// Head of an entry: index (8 bytes), value length or kNoValue (2), key length with the garbage bit (1).
+constexpr std::size_t kHeadBytes = 11;
 constexpr std::uint16_t kNoValue = 0xffff;
 constexpr unsigned char kGarbageBit = 0x80;
 static_assert(kMaxKeyBytes < kGarbageBit && kMaxValueBytes < kNoValue);
@@ -25,8 +25,8 @@
     LogIndex revision = 0;
     std::string_view key;
     std::optional<std::string_view> value;
-    bool garbage = false;
-    std::size_t size = 0;  // with what it is filled up with
+    bool is_garbage = false;
+    std::size_t size = 0;  // including padding
 };
 
 ResourceStore::ResourceStore() : slots_(1024) {}
@@ -43,12 +43,12 @@
     std::uint16_t length = 0;
     std::memcpy(&entry.revision, at, 8);
     std::memcpy(&length, at + 8, 2);
-    const auto last = static_cast<unsigned char>(at[10]);
-    entry.garbage = (last & kGarbageBit) != 0;
-    const std::size_t key_length = last & ~kGarbageBit;
-    entry.key = {at + kHeadSize, key_length};
-    if (length != kNoValue) entry.value = std::string_view(at + kHeadSize + key_length, length);
-    entry.size = aligned(kHeadSize + key_length + (entry.value ? length : 0));
+    const auto key_byte = static_cast<unsigned char>(at[10]);
+    entry.is_garbage = (key_byte & kGarbageBit) != 0;
+    const std::size_t key_length = key_byte & ~kGarbageBit;
+    entry.key = {at + kHeadBytes, key_length};
+    if (length != kNoValue) entry.value = std::string_view(at + kHeadBytes + key_length, length);
+    entry.size = aligned(kHeadBytes + key_length + (entry.value ? length : 0));
     return entry;
 }
 
@@ -62,7 +62,7 @@
     for (std::size_t at = low & mask;; at = (at + 1) & mask) {
         const Slot& slot = slots_[at];
         if (slot.entry == kNoEntry) return std::nullopt;
-        if (slot.entry != kOldEntry && slot.hash == low && entry_at(slot.entry).key == key) return at;
+        if (slot.entry != kForgottenEntry && slot.hash == low && entry_at(slot.entry).key == key) return at;
     }
 }
 
@@ -77,8 +77,8 @@
 }
 
 std::uint32_t ResourceStore::append(std::string_view key, std::optional<std::string_view> value,
-                                    LogIndex number) {
-    const std::size_t size = aligned(kHeadSize + key.size() + (value ? value->size() : 0));
+                                    LogIndex index) {
+    const std::size_t size = aligned(kHeadBytes + key.size() + (value ? value->size() : 0));
     if (order_.empty() || chunks_[order_.back()].used + size > kChunkSize) {
         const auto free =
             std::find_if(chunks_.begin(), chunks_.end(), [](const Chunk& chunk) { return !chunk.bytes; });
@@ -87,22 +87,22 @@
         Chunk& chunk = chunks_[id];
         chunk = Chunk();
         chunk.bytes = std::make_unique<char[]>(kChunkSize);
-        chunk.sequence = ++sequence_;
+        chunk.sequence = ++last_sequence_;
         order_.push_back(id);
     }
     const std::uint32_t id = order_.back();
     Chunk& chunk = chunks_[id];
     char* at = chunk.bytes.get() + chunk.used;
     const auto length = value ? static_cast<std::uint16_t>(value->size()) : kNoValue;
-    std::memcpy(at, &number, 8);
+    std::memcpy(at, &index, 8);
     std::memcpy(at + 8, &length, 2);
     at[10] = static_cast<char>(key.size());
-    std::memcpy(at + kHeadSize, key.data(), key.size());
-    if (value && !value->empty()) std::memcpy(at + kHeadSize + key.size(), value->data(), value->size());
+    std::memcpy(at + kHeadBytes, key.data(), key.size());
+    if (value && !value->empty()) std::memcpy(at + kHeadBytes + key.size(), value->data(), value->size());
     const auto reference = static_cast<std::uint32_t>(id << 16 | chunk.used / 4);
     chunk.used += size;
     chunk.live += size;
-    chunk.newest = std::max(chunk.newest, number);
+    chunk.newest_index = std::max(chunk.newest_index, index);
     live_bytes_ += size;
     return reference;
 }
@@ -130,79 +130,79 @@
     std::vector<Slot> old(size);
     old.swap(slots_);
     for (const Slot& slot : old) {
-        if (slot.entry != kNoEntry && slot.entry != kOldEntry) insert_slot(slot.hash, slot.entry);
+        if (slot.entry != kNoEntry && slot.entry != kForgottenEntry) insert_slot(slot.hash, slot.entry);
     }
     used_slots_ = entries_;
 }
 
-void ResourceStore::set(std::string_view key, std::optional<std::string_view> value, LogIndex number) {
+void ResourceStore::set(std::string_view key, std::optional<std::string_view> value, LogIndex index) {
     if (key.empty() || key.size() > kMaxKeyBytes || (value && value->size() > kMaxValueBytes)) return;
     const std::uint64_t hash = hash_of(key);
     const auto slot = slot_of(key, hash);
-    bool had = false;
+    bool had_value = false;
     if (slot) {
         const Entry before = entry_at(slots_[*slot].entry);
-        had = before.value.has_value();
-        if (had) hash_ -= entry_hash(key, *before.value);
-        const std::uint32_t entry = append(key, value, number);
+        had_value = before.value.has_value();
+        if (had_value) hash_ -= entry_hash(key, *before.value);
+        const std::uint32_t entry = append(key, value, index);
         mark_garbage(slots_[*slot].entry);
         slots_[*slot].entry = entry;
     } else {
         grow_slots();
-        insert_slot(static_cast<std::uint32_t>(hash), append(key, value, number));
+        insert_slot(static_cast<std::uint32_t>(hash), append(key, value, index));
         ++used_slots_;
         ++entries_;
     }
     if (value) hash_ += entry_hash(key, *value);
-    size_ = size_ - (had ? 1 : 0) + (value ? 1 : 0);
+    size_ = size_ - (had_value ? 1 : 0) + (value ? 1 : 0);
     if (!value) {
-        tombstones_.emplace_back(number, hash);
-        bound_tombstones();
+        tombstones_.emplace_back(index, hash);
+        limit_tombstones();
     }
     compact_chunks();
 }
 
-void ResourceStore::bound_tombstones() {
+void ResourceStore::limit_tombstones() {
     const auto forget_first = [this] {
-        const auto [number, hash] = tombstones_.front();
+        const auto [index, hash] = tombstones_.front();
         tombstones_.pop_front();
-        // By the hash: of a key that has a value again, or was taken away once more, it is void.
+        // The record is outdated if the key has a value again or was removed again later.
         const std::size_t mask = slots_.size() - 1;
         const auto low = static_cast<std::uint32_t>(hash);
         for (std::size_t at = low & mask; slots_[at].entry != kNoEntry; at = (at + 1) & mask) {
-            if (slots_[at].entry == kOldEntry || slots_[at].hash != low) continue;
+            if (slots_[at].entry == kForgottenEntry || slots_[at].hash != low) continue;
             const Entry entry = entry_at(slots_[at].entry);
-            if (entry.value || entry.revision != number || hash_of(entry.key) != hash) continue;
+            if (entry.value || entry.revision != index || hash_of(entry.key) != hash) continue;
             mark_garbage(slots_[at].entry);
-            slots_[at].entry = kOldEntry;
+            slots_[at].entry = kForgottenEntry;
             --entries_;
-            tombstones_since_ = std::max(tombstones_since_, number);
+            tombstones_since_ = std::max(tombstones_since_, index);
             return;
         }
     };
     while (entries_ - size_ > kMaxTombstones || tombstones_.size() > 2 * kMaxTombstones) forget_first();
 }
 
-void ResourceStore::forget_tombstones(LogIndex upto) {
-    tombstones_since_ = std::max(tombstones_since_, upto);
+void ResourceStore::forget_tombstones(LogIndex through_index) {
+    tombstones_since_ = std::max(tombstones_since_, through_index);
 }
 
 void ResourceStore::compact_chunks() {
     if (order_.size() < 2) return;
     const std::size_t open = kChunkSize - chunks_[order_.back()].used;
-    const std::size_t garbage = order_.size() * kChunkSize - open - live_bytes_;
-    if (garbage < 2 * kChunkSize + live_bytes_ / 8) return;
+    const std::size_t garbage_bytes = order_.size() * kChunkSize - open - live_bytes_;
+    if (garbage_bytes < 2 * kChunkSize + live_bytes_ / 8) return;
     const auto worst = std::min_element(order_.begin(), order_.end() - 1,
                                         [this](auto a, auto b) { return chunks_[a].live < chunks_[b].live; });
     if (chunks_[*worst].live > kChunkSize - kChunkSize / 16) return;
     const std::uint32_t id = *worst;
     order_.erase(worst);
-    // It keeps its place among the chunks until all of it is elsewhere, so that no reference stands for two.
+    // The chunk keeps its id until all its entries have been moved, so that references stay unique.
     live_bytes_ -= chunks_[id].live;
     const std::size_t used = chunks_[id].used;
     for (std::size_t offset = kFirstOffset; offset < used;) {
         const Entry entry = read(chunks_[id], offset);
-        if (!entry.garbage) {
+        if (!entry.is_garbage) {
             const auto reference = static_cast<std::uint32_t>(id << 16 | offset / 4);
             const auto low = static_cast<std::uint32_t>(hash_of(entry.key));
             const std::size_t mask = slots_.size() - 1;
@@ -223,37 +223,37 @@
 }
 
 void ResourceStore::for_each(std::string_view prefix,
-                             const std::function<void(std::string_view, std::string_view)>& act) const {
+                             const std::function<void(std::string_view, std::string_view)>& visit) const {
     for (const std::uint32_t id : order_) {
         const Chunk& chunk = chunks_[id];
         for (std::size_t offset = kFirstOffset; offset < chunk.used;) {
             const Entry entry = read(chunk, offset);
             offset += entry.size;
-            if (!entry.garbage && entry.value && entry.key.substr(0, prefix.size()) == prefix)
-                act(entry.key, *entry.value);
+            if (!entry.is_garbage && entry.value && entry.key.substr(0, prefix.size()) == prefix)
+                visit(entry.key, *entry.value);
         }
     }
 }
 
 std::size_t ResourceStore::read_slice(
-    std::size_t place, LogIndex since, std::size_t most,
-    const std::function<void(std::string_view, std::optional<std::string_view>, LogIndex)>& act) const {
-    // A place: the chunk's sequence, and the offset in it. An entry that has not been told only moves to
-    // places behind.
-    std::size_t told = 0;
+    std::size_t position, LogIndex since, std::size_t max_bytes,
+    const std::function<void(std::string_view, std::optional<std::string_view>, LogIndex)>& visit) const {
+    // A position is a chunk's sequence and an offset in the chunk. An entry that has not been visited moves
+    // only to later positions.
+    std::size_t visited_bytes = 0;
     for (const std::uint32_t id : order_) {
         const Chunk& chunk = chunks_[id];
-        const std::uint64_t sequence = place / kChunkSize;
-        if (chunk.sequence < sequence || chunk.newest <= since) continue;
-        std::size_t offset = chunk.sequence == sequence ? place % kChunkSize : kFirstOffset;
+        const std::uint64_t sequence = position / kChunkSize;
+        if (chunk.sequence < sequence || chunk.newest_index <= since) continue;
+        std::size_t offset = chunk.sequence == sequence ? position % kChunkSize : kFirstOffset;
         offset = std::max(offset, kFirstOffset);
         while (offset < chunk.used) {
-            if (told >= most) return chunk.sequence * kChunkSize + offset;
+            if (visited_bytes >= max_bytes) return chunk.sequence * kChunkSize + offset;
             const Entry entry = read(chunk, offset);
             offset += entry.size;
-            if (entry.garbage || entry.revision <= since) continue;
-            told += entry.size;
-            act(entry.key, entry.value, entry.revision);
+            if (entry.is_garbage || entry.revision <= since) continue;
+            visited_bytes += entry.size;
+            visit(entry.key, entry.value, entry.revision);
         }
     }
     return 0;
--- a/src/cluster/distribution/resource_store.h
+++ b/src/cluster/distribution/resource_store.h
@@ -1,5 +1,6 @@
-// A state: values by key, held close together, each with the number of the record that set it last. 760,000
-// keys of 25 bytes with values of 60 have to stay well under 128 MB. No I/O.
+// A compact key-value store for the state that the records make up: each key has its value and the index of
+// the record that last set it. History holds one; gateways look up resources in it. 760,000 keys of 25 bytes
+// with values of 60 bytes must take well under 128 MB. No I/O.
 #pragma once
 
 #include <deque>
@@ -12,51 +13,54 @@
 
 class ResourceStore {
 public:
-    // Keys that were taken away and are still known: the oldest are forgotten beyond.
+    // Removed keys that are remembered; beyond this, the oldest are forgotten.
     static constexpr std::size_t kMaxTombstones = 65536;
 
     ResourceStore();
     ResourceStore(ResourceStore&&) = default;
     ResourceStore& operator=(ResourceStore&&) = default;
     void clear();
-    // Valid until the next change of the store.
+    // The result is valid until the store changes.
     std::optional<std::string_view> find(std::string_view key) const;
-    LogIndex revision_of(std::string_view key) const;  // 0: never, or long taken away
-    // A key or value over the bounds of a change is left out.
-    void set(std::string_view key, std::optional<std::string_view> value, LogIndex number);
+    LogIndex revision_of(std::string_view key) const;  // 0: never set, or its removal is forgotten
+    // No value: removes the key. A key or value over the limits of a change is ignored.
+    void set(std::string_view key, std::optional<std::string_view> value, LogIndex index);
 
     std::size_t size() const;   // keys that have a value
-    std::size_t bytes() const;  // of memory, about
-    // Over keys that begin with this; the order is the table's.
+    std::size_t bytes() const;  // of memory, approximately
+    // Calls `visit` for each key with this prefix, in no particular order.
     void for_each(std::string_view prefix,
-                  const std::function<void(std::string_view key, std::string_view value)>& act) const;
-    // In slices: entries changed behind `since` (also those taken away: no value), from `place` on, until
-    // `most` bytes are told. Returns the next place; 0: that was all. The store may change between two
-    // slices: what is set meanwhile is told (or told again) before the end, so that the last told of each key
-    // make up the state at the end. Only clear(), or tombstones_since() above what it was, makes places void.
+                  const std::function<void(std::string_view key, std::string_view value)>& visit) const;
+    // Reads the entries that changed after `since` in slices of about `max_bytes`, starting at `position`;
+    // removed keys have no value. Returns the position of the next slice; 0: there is none. The store may
+    // change between slices: an entry that is set meanwhile is visited (again) before the end, so that the
+    // last visit of each key gives the state at the end. Positions become invalid only by clear(), or when
+    // tombstones_since() has grown.
     std::size_t read_slice(
-        std::size_t place, LogIndex since, std::size_t most,
+        std::size_t position, LogIndex since, std::size_t max_bytes,
         const std::function<void(std::string_view key, std::optional<std::string_view> value,
-                                 LogIndex number)>& act) const;
-    // Since which number keys that were taken away are still known: behind older ones only a whole copy will
-    // do.
+                                 LogIndex index)>& visit) const;
+    // All removals after this index are remembered. A copy that is older needs a full state.
     LogIndex tombstones_since() const { return tombstones_since_; }
-    void forget_tombstones(LogIndex upto);        // whatever is known of older ones is not all of them
-    std::uint64_t hash() const { return hash_; }  // of keys and values, the same in any order
-    // What a key with this value adds to it.
+    void forget_tombstones(LogIndex through_index);  // removals up to it may be incomplete
+    std::uint64_t hash() const { return hash_; }     // of all keys and values, independent of their order
+    // The share of a key and its value in hash(), which is the sum of all.
     static std::uint64_t entry_hash(std::string_view key, std::string_view value);
 
 private:
-    // Entries stand one behind the other in chunks; a new value is a new entry in the last chunk. The chunk
-    // with the most garbage is copied to the end when there is too much of it: one chunk at a time.
+    // Entries are stored contiguously in chunks; a new value is appended to the last chunk, and the old entry
+    // becomes garbage. When there is too much garbage, the live entries of the chunk with the most are moved
+    // to the end, one chunk at a time.
     static constexpr std::size_t kChunkSize = 256 * 1024;
-    static constexpr std::size_t kFirstOffset = 8;  // so that no entry has one of the references below
-    static constexpr std::uint32_t kNoEntry = 0, kOldEntry = 1;
+    // Values of Slot::entry for an empty slot and for that of a forgotten key. kFirstOffset keeps references
+    // to entries above them.
+    static constexpr std::size_t kFirstOffset = 8;
+    static constexpr std::uint32_t kNoEntry = 0, kForgottenEntry = 1;
     struct Chunk {
         std::unique_ptr<char[]> bytes;
         std::uint64_t sequence = 0;
-        std::size_t used = kFirstOffset, live = 0;
-        LogIndex newest = 0;
+        std::size_t used = kFirstOffset, live = 0;  // bytes
+        LogIndex newest_index = 0;
     };
     struct Slot {
         std::uint32_t hash = 0, entry = kNoEntry;
@@ -65,23 +69,23 @@
     Entry entry_at(std::uint32_t reference) const;
     Entry read(const Chunk& chunk, std::size_t offset) const;
     std::optional<std::size_t> slot_of(std::string_view key, std::uint64_t hash) const;
-    std::uint32_t append(std::string_view key, std::optional<std::string_view> value, LogIndex number);
+    std::uint32_t append(std::string_view key, std::optional<std::string_view> value, LogIndex index);
     void insert_slot(std::uint32_t hash, std::uint32_t entry);
     void mark_garbage(std::uint32_t reference);
     void grow_slots();
     void compact_chunks();
-    void bound_tombstones();
+    void limit_tombstones();
 
-    std::vector<Chunk> chunks_;         // by the first half of a reference; without bytes: free
-    std::vector<std::uint32_t> order_;  // by sequence, the last is written to
+    std::vector<Chunk> chunks_;         // indexed by the upper half of a reference; without bytes: free
+    std::vector<std::uint32_t> order_;  // chunks in use by sequence; entries are appended to the last
     std::vector<Slot> slots_;
     std::size_t used_slots_ = 0;  // slots that are not empty
-    std::size_t entries_ = 0;     // with or without a value
+    std::size_t entries_ = 0;     // including removed keys that are remembered
     std::size_t size_ = 0;
-    std::size_t live_bytes_ = 0;  // bytes
-    std::uint64_t sequence_ = 0;
+    std::size_t live_bytes_ = 0;  // in entries that are not garbage
+    std::uint64_t last_sequence_ = 0;
     std::uint64_t hash_ = 0;
-    std::deque<std::pair<LogIndex, std::uint64_t>> tombstones_;  // with the key's hash; some are void
+    std::deque<std::pair<LogIndex, std::uint64_t>> tombstones_;  // index and key hash; some are outdated
     LogIndex tombstones_since_ = 0;
 };
 
--- a/src/cluster/transport/frame_link.cpp
+++ b/src/cluster/transport/frame_link.cpp
@@ -10,7 +10,7 @@
 using proxy::Timestamp;
 
 std::size_t FrameStream::on_bytes(std::string_view bytes) {
-    heard_at_ = loop().now();
+    last_received_at_ = loop().now();
     std::string_view rest = bytes;
     while (!closing() && !finishing()) {
         Frame frame;
@@ -18,9 +18,9 @@
         const auto state = reader_.take(rest, frame, rejection);
         if (state == distribution::FrameReader::State::kPartial) break;
         if (state == distribution::FrameReader::State::kWrong) {
-            tell(distribution::Error{rejection, distribution::rejection_message(rejection)});
+            send_frame(distribution::Error{rejection, distribution::rejection_message(rejection)});
             finish();
-            on_wrong(rejection);
+            on_malformed(rejection);
             break;
         }
         on_frame(frame);
@@ -28,23 +28,25 @@
     return bytes.size();
 }
 
-bool FrameStream::is_stuck(Duration for_so_long) {
-    const std::size_t now_unsent = unsent();
-    if (now_unsent == 0 || now_unsent < unsent_ || stuck_since_ == Timestamp{}) {
-        stuck_since_ = now_unsent == 0 ? Timestamp{} : loop().now();
+bool FrameStream::is_stalled(Duration timeout) {
+    const std::size_t unsent_bytes = unsent();
+    if (unsent_bytes == 0 || unsent_bytes < last_unsent_ || stalled_since_ == Timestamp{}) {
+        stalled_since_ = unsent_bytes == 0 ? Timestamp{} : loop().now();
     }
-    unsent_ = now_unsent;
-    return now_unsent > 0 && loop().now() - stuck_since_ >= for_so_long;
+    last_unsent_ = unsent_bytes;
+    return unsent_bytes > 0 && loop().now() - stalled_since_ >= timeout;
 }
 
-// ---- One connection -------------------------------------------------------------------------------------
+// ---- FrameLink ------------------------------------------------------------------------------------------
 
 class FrameLink::Connection final : public FrameStream {
 public:
-    Connection(Loop& loop, FrameLink& link, std::shared_ptr<proxy::SlotMap<Connection>> all)
-        : FrameStream(loop, distribution::kMaxFrameBytes), link_(&link), all_(std::move(all)) {}
+    Connection(Loop& loop, FrameLink& link, std::shared_ptr<proxy::SlotMap<Connection>> connections)
+        : FrameStream(loop, distribution::kMaxFrameBytes),
+          link_(&link),
+          connections_(std::move(connections)) {}
     Handle self;
-    void forget() { link_ = nullptr; }
+    void detach() { link_ = nullptr; }
 
 private:
     void on_connected() override {
@@ -54,9 +56,9 @@
         link_->callbacks_.connected();
     }
     void on_frame(const Frame& frame) override {
-        if (link_) link_->callbacks_.heard(frame);
+        if (link_) link_->callbacks_.frame_received(frame);
     }
-    void on_wrong(Rejection) override { end(); }
+    void on_malformed(Rejection) override { end(); }
     void on_end(int) override { end(); }
     void end() {
         FrameLink* const link = std::exchange(link_, nullptr);
@@ -64,20 +66,20 @@
         loop().disarm(std::exchange(link->timer_, {}));
         link->current_ = {};
         link->up_ = false;
-        link->callbacks_.gone();
+        link->callbacks_.disconnected();
     }
     void on_released() override {
-        const auto all = all_;  // outlives this
-        all->remove(self);
+        const auto connections = connections_;  // keeps the map alive while it destroys this object
+        connections->remove(self);
     }
 
     FrameLink* link_;
-    std::shared_ptr<proxy::SlotMap<Connection>> all_;
+    std::shared_ptr<proxy::SlotMap<Connection>> connections_;
 };
 
 FrameLink::Connection* FrameLink::current() { return connections_ ? connections_->find(current_) : nullptr; }
 
-void FrameLink::connect(const std::string& address, Duration within) {
+void FrameLink::connect(const std::string& address, Duration timeout) {
     hang_up();
     if (!connections_) connections_ = std::make_shared<proxy::SlotMap<Connection>>();
     sockaddr_storage to{};
@@ -86,9 +88,9 @@
         Connection& connection = *connections_->find(current_);
         connection.self = current_;
         if (connection.connect(to) == 0) {
-            timer_ = loop_.arm(loop_.now() + within, [this] {
+            timer_ = loop_.arm(loop_.now() + timeout, [this] {
                 hang_up();
-                callbacks_.gone();
+                callbacks_.disconnected();
             });
             return;
         }
@@ -96,7 +98,7 @@
     }
     timer_ = loop_.arm(loop_.now(), [this] {
         timer_ = {};
-        callbacks_.gone();
+        callbacks_.disconnected();
     });
 }
 
@@ -106,13 +108,14 @@
     Connection* const connection = current();
     current_ = {};
     if (!connection) return;
-    connection->forget();
+    connection->detach();
     if (!connection->closing()) connection->close();
 }
 
 void FrameLink::send(const Frame& frame) {
     Connection* const connection = current();
-    if (connection && up_ && !connection->closing() && !connection->finishing()) connection->tell(frame);
+    if (connection && up_ && !connection->closing() && !connection->finishing())
+        connection->send_frame(frame);
 }
 
 std::size_t FrameLink::unsent() {
@@ -120,12 +123,12 @@
     return connection ? connection->unsent() : 0;
 }
 
-bool FrameLink::is_stuck(Duration for_so_long) {
+bool FrameLink::is_stalled(Duration timeout) {
     Connection* const connection = current();
-    return connection && up_ && connection->is_stuck(for_so_long);
+    return connection && up_ && connection->is_stalled(timeout);
 }
 
-// ---- Between voters -------------------------------------------------------------------------------------
+// ---- VoterLinks -----------------------------------------------------------------------------------------
 
 VoterLinks::VoterLinks(Loop& loop, int self, std::vector<std::string> addresses, std::uint64_t seed,
                        Limits limits)
@@ -133,22 +136,23 @@
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         Link& link = links_[i];
         link.address = std::move(addresses[i]);
-        link.pause = limits_.shortest_pause;
+        link.backoff = limits_.min_backoff;
         link.link = std::make_unique<FrameLink>(
             loop_, FrameLink::Callbacks{[this, &link] {
-                                            link.trying = false;
-                                            link.pause = limits_.shortest_pause;
+                                            link.is_connecting = false;
+                                            link.backoff = limits_.min_backoff;
                                         },
-                                        [this, &link] { lost(link); }, [](const Frame&) {}});
+                                        [this, &link] { on_disconnected(link); }, [](const Frame&) {}});
     }
 }
 
-void VoterLinks::lost(Link& link) {
-    link.trying = false;
-    std::uniform_real_distribution<double> part(0.5, 1);
-    link.next = loop_.now() +
-                Duration{static_cast<std::int64_t>(static_cast<double>(link.pause.count()) * part(random_))};
-    link.pause = std::min(2 * link.pause, limits_.longest_pause);
+void VoterLinks::on_disconnected(Link& link) {
+    link.is_connecting = false;
+    std::uniform_real_distribution<double> jitter(0.5, 1);
+    link.next_attempt =
+        loop_.now() +
+        Duration{static_cast<std::int64_t>(static_cast<double>(link.backoff.count()) * jitter(random_))};
+    link.backoff = std::min(2 * link.backoff, limits_.max_backoff);
 }
 
 void VoterLinks::send(int voter, const std::string& message) {
@@ -156,27 +160,27 @@
     Link& link = links_[static_cast<std::size_t>(voter)];
     if (!link.link->is_up()) {
         ++dropped_;
-        if (!link.trying && loop_.now() >= link.next) {
-            link.trying = true;
-            link.link->connect(link.address, limits_.connect_within);
+        if (!link.is_connecting && loop_.now() >= link.next_attempt) {
+            link.is_connecting = true;
+            link.link->connect(link.address, limits_.connect_timeout);
         }
         return;
     }
-    if (link.link->unsent() + message.size() > limits_.max_unsent) {
+    if (link.link->unsent() + message.size() > limits_.max_unsent_bytes) {
         ++dropped_;
         return;
     }
-    link.said_at = loop_.now();
+    link.last_sent_at = loop_.now();
     link.link->send(distribution::Voter{self_, message});
 }
 
 void VoterLinks::tick(Timestamp now) {
     for (Link& link : links_) {
-        if (link.link->is_stuck(limits_.stuck)) {
+        if (link.link->is_stalled(limits_.stall_timeout)) {
             link.link->hang_up();
-            lost(link);
-        } else if (link.link->is_up() && now - link.said_at >= limits_.idle) {
-            link.said_at = now;
+            on_disconnected(link);
+        } else if (link.link->is_up() && now - link.last_sent_at >= limits_.keepalive_interval) {
+            link.last_sent_at = now;
             link.link->send(distribution::Voter{self_, {}});
         }
     }
--- a/src/cluster/transport/relay_server.cpp
+++ b/src/cluster/transport/relay_server.cpp
@@ -12,38 +12,39 @@
     Connection(Loop& loop, RelayServer& server)
         : FrameStream(loop, distribution::kMaxFrameBytes), server_(server) {}
     Handle self;
-    Timestamp leaves{};  // 0: it is not asked to
+    Timestamp close_at{};  // 0: it is not being closed
 
-    void leave() {
+    void close_after_sending() {
         if (closing() || finishing()) return;
         finish();
-        leaves = loop().now() + server_.limits_.leaving;
+        close_at = loop().now() + server_.limits_.close_timeout;
     }
     void end() {
-        if (std::exchange(follows_, false) && !server_.closed_) server_.callbacks_.closed(self.packed());
+        if (std::exchange(is_opened_, false) && !server_.closed_) server_.callbacks_.closed(self.packed());
         if (!closing()) close();
     }
-    bool follows() const { return follows_; }
+    bool is_opened() const { return is_opened_; }
 
 private:
     void on_frame(const Frame& frame) override {
         if (const auto* voter = std::get_if<distribution::Voter>(&frame)) {
-            if (!voter->message.empty()) server_.callbacks_.heard_voter(voter->from, voter->message);
-            return;  // an empty one says that the link is there
+            if (!voter->message.empty())
+                server_.callbacks_.voter_message_received(voter->from, voter->message);
+            return;  // an empty message is a keepalive
         }
-        if (!std::exchange(follows_, true)) server_.callbacks_.opened(self.packed());
-        server_.callbacks_.heard(self.packed(), frame);
+        if (!std::exchange(is_opened_, true)) server_.callbacks_.opened(self.packed());
+        server_.callbacks_.frame_received(self.packed(), frame);
     }
-    void on_wrong(Rejection rejection) override {
-        leaves = loop().now() + server_.limits_.leaving;
-        if (!std::exchange(follows_, true)) server_.callbacks_.opened(self.packed());
-        server_.callbacks_.wrong(self.packed(), rejection);
+    void on_malformed(Rejection rejection) override {
+        close_at = loop().now() + server_.limits_.close_timeout;
+        if (!std::exchange(is_opened_, true)) server_.callbacks_.opened(self.packed());
+        server_.callbacks_.malformed(self.packed(), rejection);
     }
     void on_end(int) override { end(); }
     void on_released() override { server_.connections_.remove(self); }
 
     RelayServer& server_;
-    bool follows_ = false;  // the relay knows of it
+    bool is_opened_ = false;  // reported by opened() and not yet by closed()
 };
 
 RelayServer::RelayServer(Loop& loop, Limits limits, Callbacks callbacks)
@@ -62,14 +63,14 @@
         Connection& connection = *connections_.find(handle);
         connection.self = handle;
         if (connection.accept(from) != 0 || connections_.size() > limits_.max_sessions) {
-            return connection.close();  // the relay has not heard of it
+            return connection.close();  // opened() was not called
         }
     });
 }
 
 void RelayServer::send(Session session, const Frame& frame) {
     Connection* const connection = find(session);
-    if (connection && !connection->closing() && !connection->finishing()) connection->tell(frame);
+    if (connection && !connection->closing() && !connection->finishing()) connection->send_frame(frame);
 }
 
 std::size_t RelayServer::unsent(Session session) {
@@ -78,16 +79,17 @@
 }
 
 void RelayServer::hang_up(Session session) {
-    if (Connection* const connection = find(session)) connection->leave();
+    if (Connection* const connection = find(session)) connection->close_after_sending();
 }
 
 void RelayServer::tick(Timestamp now) {
     connections_.for_each([&](Handle, Connection& connection) {
         if (connection.closing()) return;
-        // Of a follower or a tool that has greeted, the relay says when.
-        const bool silent = !connection.follows() && now - connection.heard_at() >= limits_.silence;
-        const bool late = connection.leaves != Timestamp{} && now >= connection.leaves;
-        if (silent || late || connection.unsent() > limits_.max_unsent) connection.end();
+        // The relay itself decides when a session that it knows of is silent for too long.
+        const bool is_silent =
+            !connection.is_opened() && now - connection.last_received_at() >= limits_.receive_timeout;
+        const bool is_overdue = connection.close_at != Timestamp{} && now >= connection.close_at;
+        if (is_silent || is_overdue || connection.unsent() > limits_.max_unsent_bytes) connection.end();
     });
 }
 
