--- a/tests/distribution_process_test.cpp
+++ b/tests/distribution_process_test.cpp
@@ -1,5 +1,5 @@
-// Real relays and gateways that follow them, under load, with links between them cut one way and both,
-// stalls, SIGKILL, restarts with old state, garbage, and faults at numbered points of the processes.
+// Tests of relay and gateway processes under load: links cut in one or both directions, stalls, SIGKILL,
+// restarts with old state, garbage on connections, and faults injected at numbered points of a process.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -22,9 +22,9 @@
 using test_support::FakeRelayPlatform;
 
 constexpr metering::AccountId kAccount = 5000;
-const std::vector<FakeRelayPlatform::Place> kThree{
+const std::vector<FakeRelayPlatform::Place> kThreeRelays{
     {"r0", "eu", "eu-a"}, {"r1", "us", "us-a"}, {"r2", "ap", "ap-a"}};
-const std::vector<std::string> kFive{"eu-a", "eu-a", "us-a", "ap-a", "ap-a"};
+const std::vector<std::string> kFiveZones{"eu-a", "eu-a", "us-a", "ap-a", "ap-a"};
 
 std::string plan_value(double rate) {
     return json{{"rate", {{"unit", "rate"}, {"value", rate}}}, {"burst", std::max(4.0, rate)}}.dump();
@@ -33,10 +33,10 @@
     return metering::encode_tenant_terms({{plan, {}, metering::kForever}});
 }
 
-struct SimulatedCluster : FakeRelayPlatform {
-    explicit SimulatedCluster(const std::vector<Place>& relays = kThree,
-                              const std::vector<std::string>& zones = kFive,
-                              const std::string& more = ", lead = ms(400), patience = ms(500)")
+struct RelayFleet : FakeRelayPlatform {
+    explicit RelayFleet(const std::vector<Place>& relays = kThreeRelays,
+                        const std::vector<std::string>& zones = kFiveZones,
+                        const std::string& more = ", lead = ms(400), patience = ms(500)")
         : FakeRelayPlatform(
               [] {
                   FakePlatformSettings settings;
@@ -47,10 +47,11 @@
               relays, zones, more) {
         for (int i = 0; i < 4; ++i) town.add_endpoint("w" + std::to_string(i), "std", {}).figures.cores = 4;
     }
-    // A change that counts; its number. Given again under its id where the leader is not found yet.
-    LogIndex give(int relay_number, std::vector<distribution::Edit> edits) {
+    // Submits a change until it is committed, and returns its revision. Retries with the same id while no
+    // leader is known.
+    LogIndex submit_until_committed(int relay_number, std::vector<distribution::Edit> edits) {
         Change change;
-        change.id = "c" + std::to_string(++given_);
+        change.id = "c" + std::to_string(++submitted_changes_);
         change.edits = std::move(edits);
         std::optional<distribution::Answer> answer;
         for (const proxy::Timestamp until = town.now() + 12s; town.now() < until; town.run_for(200ms)) {
@@ -63,37 +64,38 @@
                       << (answer ? rejection_message(answer->rejection) + (": " + answer->message)
                                  : "no answer")
                       << '\n'
-                      << told();
+                      << describe();
         return 0;
     }
-    // What all say, for a failure.
-    std::string told() {
+    // The state and logs of all processes, for failure messages.
+    std::string describe() {
         std::string text;
         for (int i = 0; i < 3; ++i) text += relay_state(i).dump() + '\n' + relay_log(i);
         for (const json& one : states()) text += one.dump() + '\n';
         return text;
     }
-    // The account on a plan of so many units a second, in one change.
-    LogIndex limit_to(double rate, int at = 0) {
-        const std::string plan = "p" + std::to_string(++given_);
-        return give(at,
-                    {{"plan/" + plan, plan_value(rate)}, {metering::tenant_key(kAccount), on_plan(plan)}});
+    // Creates a plan of so many units per second and puts the account on it, in one change.
+    LogIndex set_rate_limit(double rate, int at = 0) {
+        const std::string plan = "p" + std::to_string(++submitted_changes_);
+        return submit_until_committed(
+            at, {{"plan/" + plan, plan_value(rate)}, {metering::tenant_key(kAccount), on_plan(plan)}});
     }
-    // Of the account's calls in that time, how many units were first sent on a second.
-    double units_per_s(proxy::Duration time) {
-        const double before = sent();
+    // Units per second of the account's requests that reached endpoints during that time; retries do not
+    // count.
+    double sent_units_per_s(proxy::Duration time) {
+        const double before = sent_units();
         const proxy::Timestamp begun = town.now();
         town.run_for(time);
-        return (sent() - before) / std::chrono::duration<double>(town.now() - begun).count();
+        return (sent_units() - before) / std::chrono::duration<double>(town.now() - begun).count();
     }
-    double sent() { return metering::units_of(town.seen[kAccount].estimated); }
-    // Of the units that the account's calls asked for in that time, the part that was first sent on.
-    double part_let_in(proxy::Duration time) {
-        const double sent_before = sent(), asked_before = town.asked_units[kAccount];
+    double sent_units() { return metering::units_of(town.seen[kAccount].estimated); }
+    // Share of the units requested for the account during that time that reached endpoints.
+    double admitted_share(proxy::Duration time) {
+        const double sent_before = sent_units(), asked_before = town.asked_units[kAccount];
         town.run_for(time);
-        return (sent() - sent_before) / std::max(1.0, town.asked_units[kAccount] - asked_before);
+        return (sent_units() - sent_before) / std::max(1.0, town.asked_units[kAccount] - asked_before);
     }
-    void finish() {
+    void stop_load_and_verify() {
         town.ask_much(kAccount, 0);
         town.load(false);
         const test_support::Audit& seen = town.audit;
@@ -104,11 +106,11 @@
         EXPECT_EQ(town.audit.broken(), "");
         EXPECT_GT(town.audit.served, 0u);
     }
-    int given_ = 0;
+    int submitted_changes_ = 0;
 };
 
-TEST(DistributionProcess, AChangeOfAFileTakesEffectAtAllGatewaysAtOnceAndLimitsForReal) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, ChangeFromAFileActivatesEverywhereAtOnceAndIsEnforced) {
+    RelayFleet fleet;
     fleet.start();
     fleet.town.load(true);
     fleet.town.ask_much(kAccount, 40);
@@ -123,31 +125,31 @@
     const std::string wide = file("wide.star", 400, 400), tight = file("tight.star", 8, 10);
     ASSERT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(1), wide}), 0);
     const LogIndex first = fleet.relay_state(1)["committed"];
-    ASSERT_TRUE(fleet.wait_for_revision(1, fleet.all_gateways(), 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(1, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 3s));
-    EXPECT_GT(fleet.part_let_in(1500ms), 0.8) << "some 100 units a second are asked for, of 400";
-    const proxy::Timestamp given = fleet.town.now();
+    EXPECT_GT(fleet.admitted_share(1500ms), 0.8) << "about 100 units per second are requested, 400 allowed";
+    const proxy::Timestamp submitted_at = fleet.town.now();
     ASSERT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(2), "--old", wide, tight}), 0);
-    ASSERT_TRUE(fleet.wait_for_revision(first + 1, fleet.all_gateways(), 8s)) << fleet.told();
-    // As read from the logs, every 20 ms.
+    ASSERT_TRUE(fleet.wait_for_revision(first + 1, fleet.all_gateways(), 8s)) << fleet.describe();
+    // Times of the log lines, which are read every 20 ms.
     proxy::Timestamp earliest = proxy::Timestamp::max(), latest{};
-    int told = 0;
+    int settings_lines = 0;
     for (const auto& one : fleet.town.log()) {
-        if (one.at < given || one.line.find("\"what\":\"settings\"") == std::string::npos) continue;
+        if (one.at < submitted_at || one.line.find("\"what\":\"settings\"") == std::string::npos) continue;
         earliest = std::min(earliest, one.at);
         latest = std::max(latest, one.at);
-        ++told;
+        ++settings_lines;
     }
-    EXPECT_EQ(told, 5);
+    EXPECT_EQ(settings_lines, 5);
     EXPECT_LE(latest - earliest, 150ms);
     fleet.town.run_for(1s);
-    EXPECT_LT(fleet.units_per_s(2s), 30);
+    EXPECT_LT(fleet.sent_units_per_s(2s), 30);
     for (const json& state : fleet.states()) {
         EXPECT_EQ(state["way"], "relays");
         EXPECT_EQ(state["distribution"]["longest_contradiction_ms"], 2350);
         EXPECT_EQ(state["distribution"]["pending"], false);
     }
-    // A list of edits: the account's calls go first to one endpoint of four.
+    // Submits a list of edits that routes the account's requests to one endpoint of four.
     const std::string edits = fleet.path("edits.json");
     test_support::write_file(edits, R"([{"key":"pool/one","value":{"ids":["w0"]}},
         {"key":"route/)" + account_text +
@@ -156,38 +158,39 @@
                                         R"(","value":null}])");
     ASSERT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(0), "--id", "routed", edits}), 0);
     ASSERT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(1), "--id", "routed", edits}), 0)
-        << "given again it is the same change";
+        << "submitting it again is the same change";
     const LogIndex routed = fleet.relay_state(0)["committed"];
-    ASSERT_TRUE(fleet.wait_for_revision(first + 2, fleet.all_gateways(), 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(first + 2, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.town.run_until([&] { return fleet.relay_state(0)["in_force"] >= routed; }, 8s));
     const auto one = fleet.town.calls_of("w0"), other = fleet.town.calls_of("w1");
     fleet.town.run_for(2s);
     EXPECT_GT(fleet.town.calls_of("w0") - one, 2 * (fleet.town.calls_of("w1") - other));
     test_support::write_file(edits, R"([{"key":"plan/none","value":null}])");
-    EXPECT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(0), edits}), 1) << "refused";
+    EXPECT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(0), edits}), 1)
+        << "removes a key that does not exist";
     test_support::write_file(edits, R"([{"key":"plan/none"}])");
-    EXPECT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(0), edits}), 1) << "no edit";
+    EXPECT_EQ(fleet.command({"change", "apply", "--relay", fleet.address(0), edits}), 1) << "not an edit";
     const std::string nobody = "127.0.0.1:" + std::to_string(test_support::free_port());
     EXPECT_EQ(fleet.command({"change", "apply", "--relay", nobody, "--within", "1", tight}), 2)
         << "no answer";
     EXPECT_EQ(fleet.command({"change", "state", "--relay", nobody}), 2);
-    fleet.finish();
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, OneThatIsCutOffIsFencedServesOnAndCatchesUp) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, DisconnectedGatewayIsFencedKeepsServingAndCatchesUp) {
+    RelayFleet fleet;
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 3s));
     fleet.partition({}, {4}, true);
-    // And one whose relays hear it, and that hears nothing.
+    // Gateway 3 can send to its relays but receives nothing from them.
     for (int relay = 0; relay < 3; ++relay) fleet.gateway_link(3, relay).cut(false, true);
-    ASSERT_TRUE(fleet.wait_for_fenced(true, {3, 4}, 3500ms)) << "a lease behind the last beat";
-    const LogIndex second = fleet.limit_to(5);
+    ASSERT_TRUE(fleet.wait_for_fenced(true, {3, 4}, 3500ms)) << "one lease after the last heartbeat";
+    const LogIndex second = fleet.set_rate_limit(5);
     ASSERT_TRUE(fleet.wait_for_revision(second, {0, 1, 2}, 8s))
-        << fleet.told() << "those that are cut off are not waited for";
+        << fleet.describe() << "activation does not wait for disconnected gateways";
     ASSERT_TRUE(fleet.wait_for_fenced(false, {0, 1, 2}, 1s));
     for (const int cut : {3, 4}) {
         const json state = fleet.state(cut);
@@ -196,93 +199,95 @@
     }
     const auto served = fleet.town.audit.served;
     fleet.town.run_for(1s);
-    EXPECT_GT(fleet.town.audit.served, served + 25) << "a fence is no outage";
+    EXPECT_GT(fleet.town.audit.served, served + 25) << "fenced gateways keep serving";
     fleet.partition({}, {4}, false);
     for (int relay = 0; relay < 3; ++relay) fleet.gateway_link(3, relay).cut(false);
-    ASSERT_TRUE(fleet.wait_for_revision(second, {3, 4}, 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(second, {3, 4}, 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, {3, 4}, 3s));
-    fleet.finish();
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, ARegionCutOffIsFencedAndTheOthersGoOnAndOneWayLinksHoldNothingUp) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, PartitionedRegionIsFencedAndOneWayLinksDoNotBlockChanges) {
+    RelayFleet fleet;
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
-    // r2 hears the others and is not heard, then is cut off whole with its region's gateways.
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
+    // r2 first receives from the others but cannot send to them; then r2 and its region's gateways are cut
+    // off entirely.
     fleet.link(2, 0).cut(true);
     fleet.link(2, 1).cut(true);
-    const LogIndex second = fleet.limit_to(200);
-    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex second = fleet.set_rate_limit(200);
+    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.describe();
     fleet.link(2, 0).cut(false);
     fleet.link(2, 1).cut(false);
     fleet.partition({2}, {3, 4}, true);
     ASSERT_TRUE(fleet.wait_for_fenced(true, {3, 4}, 6s));
-    const LogIndex third = fleet.limit_to(100, 1);
-    ASSERT_TRUE(fleet.wait_for_revision(third, {0, 1, 2}, 8s)) << fleet.told();
-    Change lonely;
-    lonely.id = "lonely";
-    lonely.edits = {{"plan/lonely", plan_value(1)}};
-    const auto rejected = fleet.submit(2, lonely, 15s);
+    const LogIndex third = fleet.set_rate_limit(100, 1);
+    ASSERT_TRUE(fleet.wait_for_revision(third, {0, 1, 2}, 8s)) << fleet.describe();
+    Change minority_change;
+    minority_change.id = "minority";
+    minority_change.edits = {{"plan/minority", plan_value(1)}};
+    const auto rejected = fleet.submit(2, minority_change, 15s);
     ASSERT_TRUE(rejected.has_value());
-    EXPECT_EQ(rejected->rejection, Rejection::kNoLeader) << "one region of three orders nothing";
+    EXPECT_EQ(rejected->rejection, Rejection::kNoLeader) << "one region of three cannot commit";
     fleet.partition({2}, {3, 4}, false);
     const proxy::Timestamp healed = fleet.town.now();
-    ASSERT_TRUE(fleet.wait_for_revision(third, {3, 4}, 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(third, {3, 4}, 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, {3, 4}, 8s - (fleet.town.now() - healed)));
-    fleet.finish();
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, ALeaderKilledBetweenGivenAndSettledLosesNothing) {
-    // One relay passes on without a vote, and a gateway is in its zone alone.
-    std::vector<FakeRelayPlatform::Place> relays = kThree;
+TEST(DistributionProcess, ChangeSurvivesALeaderKilledBeforeItsActivation) {
+    // One relay does not vote, and is the only one in the zone of one gateway.
+    std::vector<FakeRelayPlatform::Place> relays = kThreeRelays;
     relays.push_back({"r3", "ap", "ap-b", false});
-    SimulatedCluster fleet(relays, {"eu-a", "eu-a", "us-a", "ap-a", "ap-b"});
+    RelayFleet fleet(relays, {"eu-a", "eu-a", "us-a", "ap-a", "ap-b"});
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300, 3);  // which passes it up
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex first = fleet.set_rate_limit(300, 3);  // which forwards it to the leader
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
     EXPECT_EQ(fleet.state(4)["distribution"]["relay"], "r3");
     EXPECT_EQ(fleet.relay_state(3)["role"], "follows");
     const auto leader = fleet.leader();
     ASSERT_TRUE(leader.has_value());
-    const LogIndex second = fleet.limit_to(7, *leader);
+    const LogIndex second = fleet.set_rate_limit(7, *leader);
     fleet.kill_relay(*leader);
     const proxy::Timestamp killed = fleet.town.now();
-    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 8s - (fleet.town.now() - killed)));
-    fleet.start_relay(*leader);  // with what was on its disk
-    const LogIndex third = fleet.limit_to(9, (*leader + 1) % 3);
-    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.told();
+    fleet.start_relay(*leader);  // with the state on its disk
+    const LogIndex third = fleet.set_rate_limit(9, (*leader + 1) % 3);
+    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.town.run_until(
         [&] {
             const json state = fleet.relay_state(*leader);
             return state.is_object() && state["revision"] == third && state["fault"] == false;
         },
         5s));
-    fleet.finish();
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, WhatWasStoppedActsOnNothingOldWhenItGoesOn) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, ResumedProcessesDoNotActOnOutdatedState) {
+    RelayFleet fleet;
     fleet.start();
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 3s));
     const auto leader = fleet.leader();
     ASSERT_TRUE(leader.has_value());
     fleet.town.gateway(2).signal(SIGSTOP);
     fleet.relay(*leader).signal(SIGSTOP);
     ASSERT_TRUE(fleet.town.run_until([&] { return fleet.leader().has_value(); }, 8s));
-    const LogIndex second = fleet.limit_to(7, *fleet.leader());
-    ASSERT_TRUE(fleet.wait_for_revision(second, {0, 1, 3, 4}, 10s)) << fleet.told();
+    const LogIndex second = fleet.set_rate_limit(7, *fleet.leader());
+    ASSERT_TRUE(fleet.wait_for_revision(second, {0, 1, 3, 4}, 10s)) << fleet.describe();
     const proxy::Timestamp on = fleet.town.now();
     fleet.town.gateway(2).signal(SIGCONT);
     fleet.relay(*leader).signal(SIGCONT);
-    ASSERT_TRUE(fleet.wait_for_revision(second, {2}, 8s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(second, {2}, 8s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, {2}, 5s));
-    // First the fence, then what is new: nothing was acted on in full between.
+    // The gateway logs that it is fenced before it logs the new settings, so it did not act on the old ones
+    // as valid.
     EXPECT_TRUE(fleet.town.run_until([&] { return fleet.logged("\"settings\"", 2, on) > 0; }, 1s));
     std::size_t fence = 0, settings = 0, line = 0;
     for (const auto& one : fleet.town.log()) {
@@ -293,94 +298,95 @@
     }
     EXPECT_GT(fence, 0u);
     EXPECT_LT(fence, settings);
-    const LogIndex third = fleet.limit_to(9, *leader);
-    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex third = fleet.set_rate_limit(9, *leader);
+    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.describe();
     EXPECT_EQ(fleet.town.audit.broken(), "");
 }
 
-TEST(DistributionProcess, AllKilledAndStartedWithOldStateGoOnWhereTheyWere) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, AllRelaysRestartedFromDiskContinueTheirLog) {
+    RelayFleet fleet;
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
-    fleet.town.run_for(1200ms);  // kept by now
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
+    fleet.town.run_for(1200ms);  // by now the state has been saved
     fleet.town.kill(4);
-    const LogIndex second = fleet.limit_to(7);
-    ASSERT_TRUE(fleet.wait_for_revision(second, {0, 1, 2, 3}, 8s)) << fleet.told();
+    const LogIndex second = fleet.set_rate_limit(7);
+    ASSERT_TRUE(fleet.wait_for_revision(second, {0, 1, 2, 3}, 8s)) << fleet.describe();
     const proxy::Timestamp again = fleet.town.now();
     for (int i = 0; i < 3; ++i) fleet.kill_relay(i);
-    fleet.town.start_again(4);  // with the first revision, and nobody to hear
+    fleet.town.start_again(4);  // with the first revision saved, and no relay running
     fleet.town.run_for(1500ms);
-    EXPECT_EQ(fleet.logged("\"revision\":" + std::to_string(first), 4, again), 1) << "from what was kept";
+    EXPECT_EQ(fleet.logged("\"revision\":" + std::to_string(first), 4, again), 1)
+        << "restored from the saved state";
     EXPECT_EQ(fleet.state(4)["fenced"], true);
     EXPECT_EQ(fleet.state(4)["distribution"]["revision"], first);
     for (int i = 0; i < 3; ++i) fleet.start_relay(i);
-    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 10s)) << fleet.told();
+    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 10s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 5s));
-    const LogIndex third = fleet.limit_to(9, 1);
-    EXPECT_GT(third, second) << "one history";
-    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.told();
-    EXPECT_EQ(fleet.state(4)["distribution"]["snapshots"], 0) << "differences, no wholes";
-    fleet.finish();
+    const LogIndex third = fleet.set_rate_limit(9, 1);
+    EXPECT_GT(third, second) << "the log continues";
+    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 8s)) << fleet.describe();
+    EXPECT_EQ(fleet.state(4)["distribution"]["snapshots"], 0) << "caught up by records, not by snapshots";
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, GarbageAndLiesEndTheirOwnConnectionAlone) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, InvalidFramesCloseOnlyTheirOwnConnection) {
+    RelayFleet fleet;
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
     const auto hello = [](distribution::Role role) {
         distribution::Hello made;
         made.role = role;
         made.name = "liar";
         return distribution::write(made);
     };
-    distribution::Ack lie;
-    lie.last_index = 1000000;
-    lie.gateways = 5000;
+    distribution::Ack false_ack;
+    false_ack.last_index = 1000000;
+    false_ack.gateways = 5000;
     const std::vector<std::pair<const char*, std::string>> all{
         {"garbage", "GET / HTTP/1.1\r\nHost: x\r\n\r\n"},
-        {"a length over the bound", std::string("\xff\xff\xff\xff....", 8)},
-        {"no CBOR", std::string("\0\0\0\4\xff\xff\xff\xff", 8)},
-        {"no hello first", distribution::write(lie)},
-        {"a follower that holds what it was never sent",
-         hello(distribution::Role::kGateway) + distribution::write(lie)},
-        {"another version",
+        {"a length over the limit", std::string("\xff\xff\xff\xff....", 8)},
+        {"invalid CBOR", std::string("\0\0\0\4\xff\xff\xff\xff", 8)},
+        {"no hello frame first", distribution::write(false_ack)},
+        {"an acknowledgement of records that were never sent",
+         hello(distribution::Role::kGateway) + distribution::write(false_ack)},
+        {"an unknown protocol version",
          [] {
              distribution::Hello made;
              made.version = 99;
              return distribution::write(made);
          }()},
-        {"from the wrong side",
+        {"a frame that only relays send",
          hello(distribution::Role::kGateway) + distribution::write(distribution::Welcome{})},
     };
-    std::vector<test_support::SocketPeer> callers;
+    std::vector<test_support::SocketPeer> peers;
     for (const auto& [what, bytes] : all) {
-        callers.push_back(test_support::connect_to(fleet.port(0)));
-        callers.back().write(bytes);
+        peers.push_back(test_support::connect_to(fleet.port(0)));
+        peers.back().write(bytes);
     }
-    test_support::SocketPeer half = test_support::connect_to(fleet.port(0));
-    half.write(hello(distribution::Role::kGateway).substr(0, 9));
+    test_support::SocketPeer incomplete_peer = test_support::connect_to(fleet.port(0));
+    incomplete_peer.write(hello(distribution::Role::kGateway).substr(0, 9));
     for (std::size_t i = 0; i < all.size(); ++i) {
-        EXPECT_TRUE(fleet.town.run_until([&] { return callers[i].is_over(); }, 5s)) << all[i].first;
-        // An error frame of its own says why.
+        EXPECT_TRUE(fleet.town.run_until([&] { return peers[i].is_over(); }, 5s)) << all[i].first;
+        // The relay sends an error frame before it closes the connection.
         distribution::FrameReader reader;
-        std::string_view bytes = callers[i].got;
+        std::string_view bytes = peers[i].got;
         distribution::Frame frame;
         Rejection rejection{};
-        bool told = false;
+        bool error_received = false;
         while (reader.take(bytes, frame, rejection) == distribution::FrameReader::State::kFrame) {
-            told = told || std::holds_alternative<distribution::Error>(frame);
+            error_received = error_received || std::holds_alternative<distribution::Error>(frame);
         }
-        EXPECT_TRUE(told) << all[i].first;
+        EXPECT_TRUE(error_received) << all[i].first;
     }
-    const LogIndex second = fleet.limit_to(100);
-    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.told();
+    const LogIndex second = fleet.set_rate_limit(100);
+    ASSERT_TRUE(fleet.wait_for_revision(second, fleet.all_gateways(), 8s)) << fleet.describe();
     const auto rejection_of = [&](std::vector<distribution::Edit> edits, LogIndex base = 0) {
         Change change;
-        change.id = "bad" + std::to_string(++fleet.given_);
+        change.id = "bad" + std::to_string(++fleet.submitted_changes_);
         change.base_revision = base;
         change.edits = std::move(edits);
         const auto answer = fleet.submit(1, change);
@@ -394,33 +400,37 @@
               Rejection::kTooLarge);
     EXPECT_EQ(rejection_of({{metering::tenant_key(kAccount), on_plan("basico")}}, 1), Rejection::kStaleBase);
     EXPECT_EQ(rejection_of({{"plan/new", plan_value(1)}}, second + 1000), Rejection::kFutureBase);
-    EXPECT_TRUE(fleet.town.run_until([&] { return half.is_over(); }, 12s)) << "a frame that never ends";
-    fleet.finish();
+    EXPECT_TRUE(fleet.town.run_until([&] { return incomplete_peer.is_over(); }, 12s))
+        << "a frame that is never completed";
+    fleet.stop_load_and_verify();
 }
 
-TEST(DistributionProcess, AValueThatNoGatewayCanActOnIsHeldBackAndTheRestGoesOn) {
-    SimulatedCluster fleet;
+TEST(DistributionProcess, UnsupportedChangeIsWithdrawnAndOthersActivate) {
+    RelayFleet fleet;
     fleet.start();
-    const LogIndex first = fleet.limit_to(300);
-    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.told();
-    // It can be read, but nobody knows the plan.
-    const LogIndex bad = fleet.give(0, {{metering::tenant_key(kAccount), on_plan("nowhere")}});
-    const LogIndex good = fleet.limit_to(100, 1);
-    ASSERT_TRUE(fleet.wait_for_revision(good, fleet.all_gateways(), 8s)) << fleet.told();
-    bool told = false;
+    const LogIndex first = fleet.set_rate_limit(300);
+    ASSERT_TRUE(fleet.wait_for_revision(first, fleet.all_gateways(), 8s)) << fleet.describe();
+    // The value is well-formed but names a plan that does not exist.
+    const LogIndex bad =
+        fleet.submit_until_committed(0, {{metering::tenant_key(kAccount), on_plan("nowhere")}});
+    const LogIndex good = fleet.set_rate_limit(100, 1);
+    ASSERT_TRUE(fleet.wait_for_revision(good, fleet.all_gateways(), 8s)) << fleet.describe();
+    bool withdrawal_logged = false;
     for (int i = 0; i < 3; ++i) {
         const std::string log = fleet.relay_log(i);
-        told = told || (log.find("\"withdraw\"") != std::string::npos &&
-                        log.find("change " + std::to_string(bad) + ":") != std::string::npos &&
-                        log.find("among them n") != std::string::npos);
+        withdrawal_logged =
+            withdrawal_logged || (log.find("\"withdraw\"") != std::string::npos &&
+                                  log.find("change " + std::to_string(bad) + ":") != std::string::npos &&
+                                  log.find("among them n") != std::string::npos);
     }
-    EXPECT_TRUE(told) << "with names\n" << fleet.told();
+    EXPECT_TRUE(withdrawal_logged) << "no relay logged the withdrawal with gateway names\n"
+                                   << fleet.describe();
     for (const json& state : fleet.states()) EXPECT_EQ(state["fenced"], false);
 }
 
-// ---- What needs no processes -----------------------------------------------------------------------------
+// ---- Tests without processes -----------------------------------------------------------------------------
 
-TEST(FleetFile, MistakesAreToldAtTheirPlace) {
+TEST(FleetFile, ReportsErrorsWithTheirPosition) {
     const std::string relays =
         "relay(\"a\", region = \"eu\", zone = \"eu-a\", address = \"127.0.0.1:7600\", votes = True)\n";
     const auto problem = [](const std::string& text) -> std::string {
@@ -434,7 +444,7 @@
         return "";
     };
     EXPECT_EQ(problem(relays + "distribution()\n"), "");
-    EXPECT_EQ(problem("pool(\"p\", ids = [\"w\"])\n"), "") << "off unless it is named";
+    EXPECT_EQ(problem("pool(\"p\", ids = [\"w\"])\n"), "") << "distribution is off unless configured";
     for (const auto& [text, line] : std::vector<std::pair<std::string, std::string>>{
              {"distribution()\n", "f:1:1: distribution() wants relays: relay(...) or relays = [...]"},
              {"distribution(relays = [\"here\"])\n", "f:1:24: no address: 'here'"},
@@ -458,7 +468,7 @@
     }
 }
 
-TEST(FleetFile, AGatewayFollowsItsZonesRelayThenItsRegionsThenAny) {
+TEST(FleetFile, GatewayPrefersRelaysOfItsZoneThenItsRegion) {
     server::FleetSettings fleet;
     for (const auto& [name, region, zone] : std::vector<std::array<const char*, 3>>{
              {"a", "us", "us-a"}, {"b", "eu", "eu-a"}, {"c", "eu", "eu-b"}, {"d", "eu", "eu-b"}}) {
@@ -470,10 +480,10 @@
     EXPECT_EQ(follows.nearest_count, 2u);
     EXPECT_EQ(addresses, (std::vector<std::string>{"a", "b", "c", "d"}));
     follows = server::follower_of(fleet, "g", "mars-a", 1, addresses);
-    EXPECT_EQ(follows.nearest_count, 4u) << "of an unknown zone, all are equally near";
+    EXPECT_EQ(follows.nearest_count, 4u) << "in an unknown zone, all relays are equally near";
 }
 
-TEST(Distributed, FewResourcesAreReadWithAllThatAFileIsCheckedFor) {
+TEST(Distributed, PartialResourcesAreValidatedLikeAFile) {
     const std::string move =
         R"({"source":"a","stages":[{"share":{"unit":"share","value":0.5}}],"target":"b"})";
     operator_config::Resources few{
@@ -489,11 +499,12 @@
     EXPECT_EQ(server::readable({"tenant/5", R"({"terms":[{"plan":"a"}]})"}),
               "a tenant's key is tenant/ and 16 hex digits below 2^33");
     EXPECT_EQ(server::readable({"tenant/0000000000000005", R"({"terms":[{"plan":"a"}]})"}), "");
-    EXPECT_EQ(server::readable({"plan/a", std::nullopt}), "") << "taken away";
+    EXPECT_EQ(server::readable({"plan/a", std::nullopt}), "") << "a removed key";
 }
 
-// A crash or a stop at a numbered point of one relay's process or of one gateway's: a frame or a vote sent or
-// heard, entries on their way to disk or there. A spread of them; every number is played in virtual time.
+// A crash or stall at a numbered point of a relay or gateway process: when it sends or receives a frame or a
+// vote, or before or after it writes log entries to disk. These are samples; the simulation in virtual time
+// covers every point.
 struct Fault {
     const char* process;
     int point;
@@ -502,33 +513,33 @@
 void PrintTo(const Fault& of, std::ostream* out) {
     *out << of.process << ' ' << of.fault << " at " << of.point;
 }
-class DistributionPoints : public testing::TestWithParam<Fault> {};
+class DistributionFaultPoints : public testing::TestWithParam<Fault> {};
 
-TEST_P(DistributionPoints, TheOthersGoOnAndItComesBack) {
+TEST_P(DistributionFaultPoints, OthersContinueAndTheProcessRecovers) {
     const Fault fault = GetParam();
     const bool crashes = std::string(fault.fault) == "crash", is_relay = fault.process[0] == 'r';
     const std::vector<std::string> with{"LINNETLEAD_POINT=" + std::to_string(fault.point) + ":" +
                                         fault.fault};
-    SimulatedCluster fleet(kThree, {"eu-a", "us-a", "ap-a"});
+    RelayFleet fleet(kThreeRelays, {"eu-a", "us-a", "ap-a"});
     (is_relay ? fleet.environment : fleet.town.environment)[0] = with;
     fleet.start();
     fleet.town.load(true);
-    const LogIndex first = fleet.limit_to(300, 1);
+    const LogIndex first = fleet.set_rate_limit(300, 1);
     ASSERT_TRUE(fleet.wait_for_revision(first, is_relay ? fleet.all_gateways() : std::vector<int>{1, 2}, 10s))
-        << fleet.told();
+        << fleet.describe();
     test_support::Process& process = is_relay ? fleet.relay(0) : fleet.town.gateway(0);
     ASSERT_TRUE(
         fleet.town.run_until([&] { return crashes ? process.has_ended() : process.is_stopped(); }, 15s))
-        << "the point was not reached";
+        << "the process did not reach the point";
     const auto leader = [&] {
         std::optional<int> found;
         fleet.town.run_until([&] { return (found = fleet.leader()).has_value(); }, 8s);
         return found.value_or(1);
     };
-    const LogIndex second = fleet.limit_to(50, leader());
+    const LogIndex second = fleet.set_rate_limit(50, leader());
     ASSERT_TRUE(
         fleet.wait_for_revision(second, is_relay ? fleet.all_gateways() : std::vector<int>{1, 2}, 10s))
-        << fleet.told();
+        << fleet.describe();
     fleet.environment.clear();
     fleet.town.environment.clear();
     if (!crashes) {
@@ -540,8 +551,8 @@
         fleet.town.kill(0);
         fleet.town.start_again(0);
     }
-    const LogIndex third = fleet.limit_to(70, 1);
-    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 10s)) << fleet.told();
+    const LogIndex third = fleet.set_rate_limit(70, 1);
+    ASSERT_TRUE(fleet.wait_for_revision(third, fleet.all_gateways(), 10s)) << fleet.describe();
     ASSERT_TRUE(fleet.wait_for_fenced(false, fleet.all_gateways(), 5s));
     ASSERT_TRUE(fleet.town.run_until(
         [&] {
@@ -556,7 +567,7 @@
               0u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Spread, DistributionPoints,
+INSTANTIATE_TEST_SUITE_P(Spread, DistributionFaultPoints,
                          testing::Values(Fault{"relay", 6, "crash"}, Fault{"relay", 45, "crash"},
                                          Fault{"relay", 90, "stall"}, Fault{"gateway", 9, "crash"},
                                          Fault{"gateway", 16, "stall"}),
