--- a/src/policy/admission_control.h
+++ b/src/policy/admission_control.h
@@ -1,4 +1,5 @@
-// Whether a request is within its tenant's quotas: hard cap, concurrent attempts, and share of the rate.
+// Decides whether a request is within its tenant's quotas: the hard cap, the limit on concurrent attempts and
+// the gateway's share of the rate. Called by RequestLifecycle and Reservations.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -21,11 +22,11 @@
           counter_(counter),
           random_(random) {}
 
-    // The decision on all quotas, with the outcome of a reservation where the request has one.
+    // Checks all quotas. Where a reservation has already decided on the rate quota, its decision is used.
     bool admits(Tenant& tenant, const OpenRequest& request, Timestamp now);
-    // Probabilistic admission: admits by chance, units left over units expected, so that what is rejected is
-    // spread over the interval and over all clients, and not the interval's end or the latest comer.
-    // reported: the counter has been told of this request.
+    // Probabilistic admission: the probability is the units left divided by the units expected in the rest of
+    // the interval. Rejections are thereby spread over the interval and over all clients, and do not all fall
+    // on the end of the interval. reported: this request was added to the shared counter.
     bool admits_by_share(const Tenant& tenant, double units, bool reported, Timestamp now);
 
 private:
--- a/src/policy/agenda.cpp
+++ b/src/policy/agenda.cpp
@@ -4,16 +4,16 @@
 
 namespace linnetlead::policy {
 
-void Agenda::schedule(Timestamp at, Task task) { tasks_.emplace(at, std::move(task)); }
+void TaskQueue::schedule(Timestamp at, Task task) { tasks_.emplace(at, std::move(task)); }
 
-std::optional<Task> Agenda::take_due(Timestamp now) {
+std::optional<Task> TaskQueue::take_due(Timestamp now) {
     if (tasks_.empty() || tasks_.begin()->first > now) return std::nullopt;
     Task task = std::move(tasks_.begin()->second);
     tasks_.erase(tasks_.begin());
     return task;
 }
 
-std::optional<Timestamp> Agenda::next_wake(Timestamp now) {
+std::optional<Timestamp> TaskQueue::next_wake(Timestamp now) {
     if (requested_wake_ <= now) requested_wake_ = Timestamp::max();
     if (tasks_.empty() || tasks_.begin()->first >= requested_wake_) return std::nullopt;
     requested_wake_ = tasks_.begin()->first;
--- a/src/policy/agenda.h
+++ b/src/policy/agenda.h
@@ -1,5 +1,5 @@
-// What the decision module has to do at a later time. Tasks of one instant are done in the order in which
-// they were scheduled.
+// Queue of the tasks that the decision module has scheduled for a later time. Tasks with the same due time
+// run in the order in which they were scheduled.
 #pragma once
 
 #include <map>
@@ -11,25 +11,26 @@
 namespace linnetlead::policy {
 
 enum class TaskKind {
-    kEndInterval,      // of a tenant's quota; name: the tenant
-    kReadCount,        // the total of the interval before; name: the tenant
+    kEndInterval,      // end of a tenant's quota interval; name: the tenant
+    kReadCount,        // read the count of the previous interval; name: the tenant
     kWatchEndpoints,   // subscribe to the endpoint list again
     kReleaseEndpoint,  // an attempt that timed out no longer occupies its endpoint; name: the endpoint
-    kReleaseInheritedAttempt,  // an attempt of the process before has ended by now; name: the tenant
+    kReleaseInheritedAttempt,  // an attempt of the previous process has probably ended; name: the tenant
 };
 
 struct Task {
     TaskKind kind;
     std::string name;
-    Timestamp sent{};  // kReleaseEndpoint: when the attempt was sent
+    Timestamp sent_at{};  // kReleaseEndpoint: when the attempt was sent
 };
 
-class Agenda {
+class TaskQueue {
 public:
     void schedule(Timestamp at, Task task);
-    // Removes and returns the earliest task that is due; none if nothing is.
+    // Removes and returns the earliest due task, or nullopt if none is due.
     std::optional<Task> take_due(Timestamp now);
-    // When to be woken, where that is earlier than the wake-up that was returned last and has not passed.
+    // The time of the next wake-up to request, or nullopt if an earlier one was already returned and is still
+    // to come.
     std::optional<Timestamp> next_wake(Timestamp now);
 
 private:
--- a/src/policy/attempt_results.h
+++ b/src/policy/attempt_results.h
@@ -1,4 +1,4 @@
-// What an attempt's result tells of its endpoint and of the load.
+// Feeds the result of an attempt into the statistics, the outlier detector and the concurrency limiter.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -10,13 +10,13 @@
 
 namespace linnetlead::policy {
 
-class AttemptResults {
+class AttemptResultRecorder {
 public:
-    AttemptResults(TrafficStatistics& statistics, const AttemptTimeouts& timeouts,
-                   const OutlierDetector& detector, ConcurrencyLimiter& limiter)
+    AttemptResultRecorder(TrafficStatistics& statistics, const AttemptTimeouts& timeouts,
+                          const OutlierDetector& detector, ConcurrencyLimiter& limiter)
         : statistics_(statistics), timeouts_(timeouts), detector_(detector), limiter_(limiter) {}
 
-    // Records the result. True where the outcome speaks of too much load.
+    // Records the result. Returns true if the outcome is a sign of overload.
     bool record(Endpoint& endpoint, int traffic_class, const AttemptResult& result, Timestamp now);
 
 private:
--- a/src/policy/attempt_rules.cpp
+++ b/src/policy/attempt_rules.cpp
@@ -23,13 +23,14 @@
                               const Endpoint& target, Timestamp now) const {
     if (!earlier.may_have_run || traffic_class.idempotency == Idempotency::kIdempotent) return true;
     if (traffic_class.idempotency == Idempotency::kNonIdempotent) return false;
-    // The repeat arrives later than it is sent: a tick and a tenth of the window are left as a margin.
-    const bool key_expires = now + settings_.tick - earlier.sent >= traffic_class.key_window * 9 / 10;
+    // A retry arrives later than it is sent, so one clock tick and a tenth of the window are kept as a
+    // margin.
+    const bool key_expires = now + settings_.tick - earlier.sent_at >= traffic_class.key_window * 9 / 10;
     return !key_expires && knows_key(earlier, traffic_class.key_scope, target);
 }
 
-// Whether the target shares its keys with the endpoint of the earlier attempt. One that has left the list
-// can't be told to.
+// Whether the target knows the keys of the endpoint of the earlier attempt. This is unknown, and taken as
+// false, if that endpoint has left the list.
 bool AttemptRules::knows_key(const Attempt& earlier, KeyScope scope, const Endpoint& target) const {
     if (scope == KeyScope::kAll) return true;
     const Endpoint* const first = endpoints_.find(earlier.endpoint);
@@ -42,7 +43,7 @@
     const TrafficClassSettings& traffic_class = class_of(request);
     return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
         if (!attempt.may_have_run || traffic_class.idempotency == Idempotency::kIdempotent) return true;
-        // A client's repeat is dropped by its key, wherever it goes: so it may be told to send it.
+        // If every endpoint knows the key, a retry by the client is deduplicated wherever it goes.
         return traffic_class.idempotency == Idempotency::kKeyed && traffic_class.key_scope == KeyScope::kAll;
     });
 }
--- a/src/policy/attempt_rules.h
+++ b/src/policy/attempt_rules.h
@@ -1,8 +1,8 @@
-// What may be sent again, and what may be rejected. This is the only place that decides it.
+// Rules for what may be retried and what may be rejected. No other file decides this.
 //
-// A request of a non-idempotent class must not run twice, and one that may have run is
-// rejected only where the client's repeat does no harm; else it fails. A keyed request may run again within
-// its key window, and within the zone or cell where its key is known.
+// A request of a non-idempotent class must not run twice. A request that may have run is rejected only if a
+// retry by the client does no harm; otherwise it fails. A keyed request may run again within its key window,
+// and within the zone or cell where its key is known.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -18,7 +18,7 @@
 
     // Whether an attempt may be sent to this endpoint now.
     bool may_send(const OpenRequest& request, const Endpoint& target, Timestamp now) const;
-    // Whether the request may be answered with a rejection. Else it can only fail.
+    // Whether the request may be answered with a rejection. Otherwise it has to fail.
     bool may_reject(const OpenRequest& request) const;
 
 private:
--- a/src/policy/attempt_timeouts.h
+++ b/src/policy/attempt_timeouts.h
@@ -1,4 +1,4 @@
-// How long attempts are waited for, and until when a request is worth another one.
+// Timeouts of attempts, and the time until which another attempt is worthwhile.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -12,12 +12,13 @@
     AttemptTimeouts(const Settings& settings, const TrafficStatistics& statistics)
         : settings_(settings), statistics_(statistics) {}
 
-    // Whether an answer would still be worth something.
+    // Whether an answer to the request still has a value now.
     bool is_in_time(const OpenRequest& request, Timestamp now) const;
-    // The timeout of an attempt sent now. may_retry_early: it is a first attempt, and a retry may follow a
-    // short one.
+    // The timeout of an attempt sent now. may_retry_early: this is a first attempt, and a retry is allowed,
+    // so the timeout may be shorter.
     Duration timeout(const OpenRequest& request, bool may_retry_early, Timestamp now) const;
-    // Whether an attempt lasted so much longer than the mean of its class that it will not be answered.
+    // Whether an attempt has lasted so much longer than the mean of its class that no answer is to be
+    // expected.
     bool is_beyond_tail(int traffic_class, Duration latency) const;
 
 private:
--- a/src/policy/concurrency_quota.cpp
+++ b/src/policy/concurrency_quota.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double kReductionStep = 0.9;  // factor by which admission is reduced until the limit has capacity
+constexpr double kReductionFactor = 0.9;  // per step, until the limit has capacity
 
 }  // namespace
 
@@ -28,23 +28,25 @@
     const int free_for_others = plan.max_concurrent - 1 - tenant.attempts_in_flight;
     if (plan.max_concurrent > 0 && free_for_others < 0) return false;
     if (plan.max_concurrent <= 0 || tenant.gateway_set_size < 2 || tenant.is_sampled) return true;
-    // Every gateway admits at the same reduced probability, so the attempts of all get fewer until there is
-    // capacity.
+    // Every gateway admits with the same reduced probability, so that the total number of attempts falls
+    // until there is capacity.
     const double expected = others_in_flight(tenant);
     double reduced = expected;
     while (capacity_probability(reduced, free_for_others) <= kMinCapacityProbability)
-        reduced *= kReductionStep;
+        reduced *= kReductionFactor;
     return reduced >= expected || random_.uniform() < reduced / expected;
 }
 
-// Expected from the other gateways' demand and the mean duration of an attempt (Little's law).
+// Expected attempts in flight from other gateways: their demand times the mean duration of an attempt
+// (Little's law).
 double ConcurrencyQuota::others_in_flight(const Tenant& tenant) const {
     const RatePlanSettings& plan = schedule_.plan_of(tenant);
     const double total = tenant.last_demand + tenant.others_demand;
     const double demand =
         tenant.others_known ? tenant.others_demand : tenant.demand * (tenant.gateway_set_size - 1);
     const double units_per_request = plan.rate > 0 ? std::max(1.0, statistics_.units()) : 1;
-    const double admitted = plan.rate > 0 && total > 0 ? std::min(1.0, schedule_.refill(tenant) / total) : 1;
+    const double admitted =
+        plan.rate > 0 && total > 0 ? std::min(1.0, schedule_.refill_per_interval(tenant) / total) : 1;
     return admitted * demand / units_per_request / to_seconds(schedule_.interval(tenant)) *
            statistics_.attempt_duration_s();
 }
--- a/src/policy/concurrency_quota.h
+++ b/src/policy/concurrency_quota.h
@@ -1,4 +1,5 @@
-// A plan's limit on attempts in flight at once, over all gateways.
+// A rate plan's limit on concurrent attempts, over all gateways. Checked by AdmissionControl and
+// SampledReads.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -8,10 +9,10 @@
 
 namespace linnetlead::policy {
 
-// An attempt is admitted where its limit has capacity at least with this probability.
+// An attempt is admitted if its limit has capacity with at least this probability.
 constexpr double kMinCapacityProbability = 0.7;
 
-// Probability that no more than `free` attempts are in flight where `expected` are on average (Poisson).
+// Probability that at most `free` attempts are in flight if the mean is `expected` (Poisson distribution).
 double capacity_probability(double expected, int free);
 
 class ConcurrencyQuota {
@@ -19,8 +20,8 @@
     ConcurrencyQuota(const QuotaSchedule& schedule, const TrafficStatistics& statistics, RandomSource& random)
         : schedule_(schedule), statistics_(statistics), random_(random) {}
 
-    // Whether one more attempt of the tenant fits its limit now. Draws a random number where the others'
-    // attempts leave it to chance.
+    // Whether one more attempt of the tenant is within its limit now. Draws a random number if this depends
+    // on the attempts of other gateways.
     bool has_capacity(const Tenant& tenant);
 
 private:
--- a/src/policy/demand_count.h
+++ b/src/policy/demand_count.h
@@ -1,11 +1,11 @@
-// What one number on the shared counter tells of a tenant's interval.
+// Encoding of a tenant's demand and use in one interval as a single number on the shared counter.
 //
-// The counter only adds numbers, and returns totals with seven digits. So demand and use of all gateways
-// share one number: demand before the decimal point, units spent behind it, both in fixed parts of the most
-// units that an interval can grant. Once in an interval one half is added together with what the token bucket
-// lacked at the interval's start; from then on the part behind the point states the bucket itself. All
-// gateways add to one number, so this form can't change while releases are mixed. All amounts are units,
-// except for the number itself.
+// The counter only adds numbers, and returns totals with seven digits. So the demand and the use of all
+// gateways share one number: the integer part is the demand, the fraction is the units spent, both scaled by
+// the most units that an interval can grant. Once per interval, one gateway adds 0.5 together with the token
+// bucket's deficit at the start of the interval; from then on the fraction describes the bucket itself. All
+// gateways add to the same number, so the encoding can't change while releases are mixed. All amounts are in
+// units, except for the number itself.
 #pragma once
 
 #include <algorithm>
@@ -18,28 +18,28 @@
     // max_units: the most that an interval can grant.
     explicit DemandCount(double max_units) : max_units_(max_units) {}
 
-    // This gateway's part of the number. bucket_deficit: what the bucket lacked at the interval's start;
-    // below nought where another gateway states it.
+    // This gateway's part of the number. bucket_deficit: units missing from the bucket at the start of the
+    // interval; negative if another gateway reports it.
     double encode(double demand, double spent, double bucket_deficit) const {
         const double spent_parts =
             std::round(std::max(0.0, spent + std::max(0.0, bucket_deficit)) / max_units_ * kSpentParts);
         return std::max(1.0, std::round(demand / max_units_ * kDemandParts)) +
-               (bucket_deficit < 0 ? 0 : kBucketStated) +
-               std::min(spent_parts / kFractionSteps, kBucketStated - 1 / kFractionSteps);
+               (bucket_deficit < 0 ? 0 : kBucketDeficitFlag) +
+               std::min(spent_parts / kFractionSteps, kBucketDeficitFlag - 1 / kFractionSteps);
     }
 
-    // Compares two numbers, but for rounding by the counter.
+    // Compares two numbers, allowing for rounding by the counter.
     static bool is_at_most(double number, double limit) { return number < limit + kHalfStep; }
-    static bool states_bucket(double total) { return fraction(total) >= kBucketStated; }
-    // Where the bucket is stated: what it lacks, without the interval's refill.
+    static bool includes_bucket_deficit(double total) { return fraction(total) >= kBucketDeficitFlag; }
+    // The bucket's deficit without the refill of the interval. Requires includes_bucket_deficit().
     double bucket_deficit(double total) const {
-        return (fraction(total) - kBucketStated) * units_per_fraction();
+        return (fraction(total) - kBucketDeficitFlag) * units_per_fraction();
     }
-    // Where it is not: what the other gateways have spent.
+    // Units spent by the other gateways. Requires that includes_bucket_deficit() is false.
     double others_spent(double total, double own) const {
         return std::max(0.0, fraction(total) - fraction(std::min(own, total))) * units_per_fraction();
     }
-    // What the other gateways were asked for.
+    // Demand at the other gateways.
     double others_demand(double total, double own) const {
         return std::max(0.0, std::floor(total + kHalfStep) - std::floor(own + kHalfStep)) / kDemandParts *
                max_units_;
@@ -48,9 +48,9 @@
 private:
     static constexpr double kDemandParts = 100;
     static constexpr double kSpentParts = 2000;
-    static constexpr double kFractionSteps = 10000;  // four digits behind the point of seven in all
+    static constexpr double kFractionSteps = 10000;  // four of the seven digits are decimals
     static constexpr double kHalfStep = 0.5 / kFractionSteps;
-    static constexpr double kBucketStated = 0.5;
+    static constexpr double kBucketDeficitFlag = 0.5;
 
     static double fraction(double number) { return number - std::floor(number + kHalfStep); }
     double units_per_fraction() const { return max_units_ * kFractionSteps / kSpentParts; }
--- a/src/policy/demand_reports.h
+++ b/src/policy/demand_reports.h
@@ -1,4 +1,5 @@
-// Reports of a tenant's demand and use to the shared counter, and what its totals tell of the other gateways.
+// Reports a tenant's demand and use to the shared counter, and updates the tenant's token bucket and quota
+// share from the returned totals.
 #pragma once
 
 #include <string>
@@ -23,26 +24,27 @@
         const QuotaShares& shares;
         const TrafficStatistics& statistics;
         SharedCounter& counter;
-        Agenda& agenda;
+        TaskQueue& tasks;
     };
     explicit DemandReports(const Context& context) : context_(context) {}
 
-    // Reports an interval that ends now, where it is worth a call, and schedules the read of its total.
+    // Reports an interval that ends now, if its demand is large enough, and schedules the read of its total.
     void report_interval(const std::string& name, Tenant& tenant, Timestamp now);
-    // Adds to the current interval's count what it has not been told yet. False where no call was made.
+    // Adds the unreported demand and use to the count of the current interval. Returns false if no call was
+    // made.
     bool report(const std::string& name, Tenant& tenant, Timestamp now, RequestId waiting_request = 0);
-    // Asks for the total of the interval before, once.
+    // Reads the total of the previous interval, unless that was already done.
     void read_total(const std::string& name, Tenant& tenant, Timestamp now);
-    // Takes in the reply to a call: what was lost is reported again, and the bucket follows the total.
-    void on_total(Tenant& tenant, const CounterCall& answered, CounterStatus status, double total,
-                  Timestamp now);
+    // Handles the reply to a counter call: schedules lost amounts for the next report, and updates the
+    // bucket.
+    void on_total(Tenant& tenant, const CounterCall& call, CounterStatus status, double total, Timestamp now);
 
 private:
     double interval_quota(const Tenant& tenant) const;
     DemandCount count_of(const Tenant& tenant) const;
-    bool is_complete(Tenant& tenant, IntervalReport& report, const CounterCall& answered,
-                     CounterStatus status, double total) const;
-    void update_bucket(Tenant& tenant, IntervalReport& report, const CounterCall& answered, double total,
+    bool is_complete(Tenant& tenant, IntervalReport& report, const CounterCall& call, CounterStatus status,
+                     double total) const;
+    void update_bucket(Tenant& tenant, IntervalReport& report, const CounterCall& call, double total,
                        Timestamp now);
 
     Context context_;
--- a/src/policy/endpoint.h
+++ b/src/policy/endpoint.h
@@ -1,4 +1,4 @@
-// What this gateway knows of one endpoint.
+// The state that this gateway keeps for one endpoint.
 #pragma once
 
 #include <algorithm>
@@ -15,17 +15,18 @@
     EndpointInfo info;
     bool listed = true;
     FailureAverage failures;
-    // Its failure domains, kind and zone, each by traffic class. Owned by the OutlierDetector.
+    // Failure averages of its two failure domains (kind and zone), by traffic class. Owned by
+    // OutlierDetector.
     std::array<std::vector<FailureAverage>*, 2> failure_domains{};
-    std::multiset<Timestamp> in_flight;  // when each attempt that still occupies it was sent
-    double concurrency_limit = 1;        // attempts from this gateway, before the fleet's multiplier
+    std::multiset<Timestamp> in_flight;  // send times of the attempts that occupy it
+    double concurrency_limit = 1;        // attempts from this gateway, without the fleet multiplier
     bool probe_in_flight = false;
-    int consecutive_rejections = 0;  // attempts, with none served between them
+    int consecutive_rejections = 0;  // of attempts, without a success in between
     Timestamp ejected_until{};
 
-    bool in_service() const { return listed && info.state == EndpointState::kInService; }
+    bool is_in_service() const { return listed && info.state == EndpointState::kInService; }
     double weight() const {
-        constexpr double kMinWeight = 1e-6;  // an endpoint without weight stays a divisor
+        constexpr double kMinWeight = 1e-6;  // weights are used as divisors
         return std::max(info.weight, kMinWeight);
     }
 };
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -1,4 +1,4 @@
-// Notifications of the endpoint list, applied to what this gateway knows of the endpoints.
+// Applies notifications of the endpoint list to the set of known endpoints.
 #pragma once
 
 #include <vector>
@@ -20,11 +20,11 @@
         EndpointPools& pools;
         OutlierDetector& detector;
         ConcurrencyLimiter& limiter;
-        Agenda& agenda;
+        TaskQueue& tasks;
     };
     explicit EndpointList(const Context& context) : context_(context) {}
 
-    void on_notified(Timestamp now, EndpointListKind kind, const std::vector<EndpointInfo>& entries);
+    void on_notification(Timestamp now, EndpointListKind kind, const std::vector<EndpointInfo>& entries);
 
 private:
     void apply(const EndpointInfo& entry);
--- a/src/policy/endpoint_pools.cpp
+++ b/src/policy/endpoint_pools.cpp
@@ -9,7 +9,7 @@
     Candidates& candidates = it->second;
     if (!is_new) return candidates;
     for (auto& [id, endpoint] : endpoints_.all()) {
-        if (!endpoint.in_service() || (endpoint.info.pools & pools) == 0) continue;
+        if (!endpoint.is_in_service() || (endpoint.info.pools & pools) == 0) continue;
         candidates.endpoints.push_back(&endpoint);
         candidates.max_weight = std::max(candidates.max_weight, endpoint.weight());
     }
--- a/src/policy/endpoint_pools.h
+++ b/src/policy/endpoint_pools.h
@@ -1,4 +1,5 @@
-// The endpoints in service of each set of pools, to draw from.
+// Caches the endpoints in service for each set of pools, and draws random ones for the load balancer and the
+// probe pool.
 #pragma once
 
 #include <unordered_map>
@@ -20,11 +21,11 @@
 public:
     EndpointPools(EndpointSet& endpoints, RandomSource& random) : endpoints_(endpoints), random_(random) {}
 
-    // Made when first asked for, and valid until clear().
+    // The endpoints in service of these pools. The reference is valid until clear().
     const Candidates& candidates(PoolSet pools);
-    // One of them, each with the same probability. There must be one.
+    // Draws a candidate uniformly at random. There must be at least one.
     Endpoint& draw(const Candidates& candidates);
-    // To be called when the endpoint list has changed.
+    // Must be called after each change of the endpoint list.
     void clear() { candidates_.clear(); }
 
 private:
--- a/src/policy/endpoint_set.h
+++ b/src/policy/endpoint_set.h
@@ -1,4 +1,4 @@
-// The endpoints that this gateway knows, and the attempts that occupy them.
+// The endpoints known to this gateway, and the attempts that occupy them.
 #pragma once
 
 #include <map>
@@ -8,32 +8,33 @@
 
 namespace linnetlead::policy {
 
-// An endpoint stays known, though no longer listed, while an attempt occupies it.
+// An endpoint that is no longer listed stays in the set while an attempt occupies it.
 class EndpointSet {
 public:
-    // In the order of their ids: the load balancer's draws depend on it. Addresses are stable.
+    // Ordered by id, since the load balancer's random draws depend on the order. Addresses are stable.
     std::map<EndpointId, Endpoint>& all() { return endpoints_; }
     const std::map<EndpointId, Endpoint>& all() const { return endpoints_; }
-    // None where it is not known.
+    // Returns nullptr for an unknown endpoint.
     Endpoint* find(const EndpointId& id);
     const Endpoint* find(const EndpointId& id) const;
 
-    // An attempt sent now occupies the endpoint, until release() with the same instant.
-    void occupy(Endpoint& endpoint, Timestamp sent);
-    void release(const EndpointId& id, Timestamp sent);
+    // Marks the endpoint as occupied by an attempt, until release() is called with the same send time.
+    void occupy(Endpoint& endpoint, Timestamp sent_at);
+    void release(const EndpointId& id, Timestamp sent_at);
 
-    // To be called after a change of the list: forgets what is neither listed nor occupied, and counts anew.
-    void refresh();
+    // Must be called after each change of the list: removes endpoints that are neither listed nor occupied,
+    // and recomputes the totals below.
+    void prune_and_recount();
 
-    // Endpoints in service, and attempts from this gateway that occupy them.
-    double in_service() const { return in_service_; }
+    // Number of endpoints in service, and of this gateway's attempts that occupy them.
+    double in_service_count() const { return in_service_count_; }
     double attempts_in_flight() const { return attempts_in_flight_; }
     // Mean weight of the endpoints in service.
     double mean_weight() const { return mean_weight_; }
 
 private:
     std::map<EndpointId, Endpoint> endpoints_;
-    double in_service_ = 0;
+    double in_service_count_ = 0;
     double attempts_in_flight_ = 0;
     double mean_weight_ = 1;
 };
--- a/src/policy/failure_average.h
+++ b/src/policy/failure_average.h
@@ -1,4 +1,4 @@
-// Exponentially weighted share of attempts that failed.
+// Exponentially weighted moving average of the share of failed attempts.
 #pragma once
 
 #include <cmath>
@@ -7,8 +7,8 @@
 
 namespace linnetlead::policy {
 
-// The average decays with time as well as with attempts, so that an endpoint that gets nothing because it
-// failed is tried again without a timer.
+// The average decays with time as well as with attempts. An endpoint that gets no attempts because of
+// failures is therefore tried again without a timer.
 struct FailureAverage {
     double share = 0;  // at `updated_at`
     Timestamp updated_at{};
--- a/src/policy/hard_cap.h
+++ b/src/policy/hard_cap.h
@@ -1,8 +1,7 @@
 // The hard cap of a plan: a second token bucket that no request may overdraw.
 //
-// Each gateway owns an even part of its burst and its rate. So the cap holds through a cut of the network, a
-// restart of a gateway and an outage of the counter, which is what it is for; shares by demand would not.
-// Units.
+// Each gateway owns an even part of its burst and its rate. So the cap holds through network partitions,
+// gateway restarts and counter outages, which shares by demand would not. All amounts are in units.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -15,10 +14,10 @@
     explicit HardCap(const QuotaSchedule& schedule) : schedule_(schedule) {}
 
     void refill(Tenant& tenant, Timestamp now) const;
-    // Whether the cap lets these units pass now. True for a plan without a cap.
+    // Whether these units are within the cap now. True for a plan without a cap.
     bool allows(Tenant& tenant, double units, Timestamp now) const;
     void spend(Tenant& tenant, double units) const { tenant.hard_cap_left -= units; }
-    // Whether nothing would be lost by forgetting the tenant.
+    // Whether the bucket is full, so that the tenant can be forgotten without changing the cap.
     bool is_full(const Tenant& tenant) const { return tenant.hard_cap_left >= burst(tenant); }
 
 private:
--- a/src/policy/load_balancer.h
+++ b/src/policy/load_balancer.h
@@ -1,8 +1,8 @@
-// Which endpoint an attempt goes to.
+// Selects the endpoint for each attempt.
 //
-// A few endpoints are drawn by weight, and the one with the shortest expected wait is taken; so the cost of a
-// choice does not depend on the number of endpoints, and gateways that know nothing of each other do not all
-// choose the same one.
+// A few endpoints are drawn at random by weight, and the one with the shortest expected wait is selected. The
+// cost of a selection therefore does not depend on the number of endpoints, and gateways do not all select
+// the same endpoint.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -33,15 +33,15 @@
     };
     explicit LoadBalancer(const Context& context) : context_(context) {}
 
-    // The endpoint for the request's next attempt; none where there is no capacity or none may be sent to.
-    // The first attempt goes to the request's pools, or to its fallback where none of them can take it;
-    // further ones to its fallback.
-    Endpoint* pick(OpenRequest& request, Timestamp now);
+    // Returns the endpoint for the request's next attempt, or nullptr if there is no capacity or no usable
+    // endpoint. The first attempt goes to the request's pools, or to its fallback pools if no endpoint of the
+    // former is usable. Further attempts go to the fallback pools.
+    Endpoint* select(OpenRequest& request, Timestamp now);
 
 private:
-    Endpoint* pick_from(const OpenRequest& request, PoolSet pools, Timestamp now);
-    Endpoint* best_probed(const OpenRequest& request, PoolSet pools, Timestamp now);
-    Endpoint* best_drawn(const OpenRequest& request, PoolSet pools, Timestamp now, bool warming_too);
+    Endpoint* select_from(const OpenRequest& request, PoolSet pools, Timestamp now);
+    Endpoint* select_probed(const OpenRequest& request, PoolSet pools, Timestamp now);
+    Endpoint* select_drawn(const OpenRequest& request, PoolSet pools, Timestamp now, bool include_warming);
     bool is_usable(const Endpoint& endpoint, const OpenRequest& request, Timestamp now) const;
     double expected_wait(const Endpoint& endpoint, int traffic_class, Timestamp now) const;
 
--- a/src/policy/open_request.h
+++ b/src/policy/open_request.h
@@ -1,4 +1,4 @@
-// A request that has been received and not finished yet, and its attempts.
+// A request that has not finished yet, and its attempts.
 #pragma once
 
 #include <vector>
@@ -9,23 +9,23 @@
 
 struct Attempt {
     EndpointId endpoint;
-    Timestamp sent{};
+    Timestamp sent_at{};
     bool in_flight = true;
     bool may_have_run = true;
-    bool occupies_endpoint = true;  // until its answer begins or the endpoint is done with it
+    bool occupies_endpoint = true;  // until its answer starts or its endpoint has finished the work
 };
 
-enum class QuotaDecision { kOpen, kRejected, kAdmitted };
+enum class QuotaDecision { kUndecided, kRejected, kAdmitted };
 
 struct OpenRequest : Request {
-    Timestamp arrived{};
-    QuotaDecision quota_decision = QuotaDecision::kOpen;
-    bool holds_units = false;  // its units are taken from the quota and no endpoint has used them yet
+    Timestamp arrived_at{};
+    QuotaDecision quota_decision = QuotaDecision::kUndecided;
+    bool holds_units = false;  // its units are taken from the token bucket and not used by an endpoint yet
     std::vector<Attempt> attempts;
-    int in_flight = 0;            // attempts
-    bool awaits_counter = false;  // the reply of the counter comes before its first attempt
-    bool reported = false;        // to the counter, on its arrival
-    bool capacity_found = false;  // by the concurrency limiter, on its arrival; used up by the first attempt
+    int in_flight = 0;                    // attempts
+    bool is_waiting_for_counter = false;  // its first attempt waits for the counter's reply
+    bool reported = false;                // its demand was added to the counter on arrival
+    bool has_capacity = false;  // result of the concurrency limiter on arrival; consumed by the first attempt
     bool answered = false;
 };
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -1,4 +1,4 @@
-// Routes events to the rules of the decision module. Each rule has its own files in this folder.
+// Routes events to the rules of the decision module. Each rule has its own files in this directory.
 #include "linnetlead/policy.h"
 
 #include <utility>
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-// The rules and the state they share. Members are in the order of their dependencies.
+// Owns the rules and their shared state. Members are declared in the order of their dependencies.
 class Policy::Impl {
 public:
     Impl(Settings settings, std::uint64_t seed, Timestamp now, Actions& actions)
@@ -54,12 +54,12 @@
     Impl(const Impl&) = delete;
     Impl& operator=(const Impl&) = delete;
 
-    // What is due comes before the event; then the next wake-up is asked for.
+    // Runs the due tasks, then handles the event, then requests the next wake-up.
     template <typename Event>
     void handle(Timestamp now, Event event) {
-        while (const auto task = agenda_.take_due(now)) run(*task, now);
+        while (const auto task = tasks_.take_due(now)) run(*task, now);
         event();
-        if (const auto wake = agenda_.next_wake(now)) actions_.wake(*wake);
+        if (const auto wake = tasks_.next_wake(now)) actions_.wake(*wake);
     }
 
     void add_plans(const std::vector<RatePlanSettings>& more) {
@@ -83,7 +83,7 @@
             case TaskKind::kWatchEndpoints:
                 return actions_.watch_endpoints();
             case TaskKind::kReleaseEndpoint:
-                return endpoints_.release(task.name, task.sent);
+                return endpoints_.release(task.name, task.sent_at);
             case TaskKind::kReleaseInheritedAttempt:
                 return tenants_.on_inherited_attempt_end(task.name);
         }
@@ -93,7 +93,7 @@
     Actions& actions_;
     RandomSource random_;
     Timestamp started_;
-    Agenda agenda_;
+    TaskQueue tasks_;
     TrafficStatistics statistics_{settings_.classes.size()};
 
     QuotaSchedule schedule_{settings_};
@@ -101,18 +101,18 @@
     HardCap hard_cap_{schedule_};
     QuotaShares shares_{schedule_, bucket_};
     SharedCounter counter_{settings_, schedule_, actions_};
-    DemandReports reports_{{settings_, schedule_, bucket_, shares_, statistics_, counter_, agenda_}};
+    DemandReports reports_{{settings_, schedule_, bucket_, shares_, statistics_, counter_, tasks_}};
     SampledReads sampled_reads_{settings_, schedule_, counter_, random_};
     ConcurrencyQuota concurrency_quota_{schedule_, statistics_, random_};
     AdmissionControl admission_{schedule_, hard_cap_, concurrency_quota_, counter_, random_};
     QuotaManager tenants_{{settings_, schedule_, bucket_, hard_cap_, shares_, statistics_, counter_, reports_,
-                           agenda_, started_}};
+                           tasks_, started_}};
 
     EndpointSet endpoints_;
     EndpointPools pools_{endpoints_, random_};
     OutlierDetector detector_{settings_};
     ConcurrencyLimiter limiter_{settings_, endpoints_, statistics_, random_};
-    EndpointList endpoint_list_{{settings_, endpoints_, pools_, detector_, limiter_, agenda_}};
+    EndpointList endpoint_list_{{settings_, endpoints_, pools_, detector_, limiter_, tasks_}};
     SlowStart slow_start_{settings_};
     ProbePool probes_{{settings_, limiter_, slow_start_, endpoints_, pools_, random_, actions_}};
 
@@ -122,13 +122,13 @@
         {settings_, detector_, slow_start_, rules_, limiter_, endpoints_, pools_, probes_, random_}};
     Reservations reservations_{
         {settings_, schedule_, bucket_, hard_cap_, counter_, reports_, admission_, limiter_, random_}};
-    AttemptResults results_{statistics_, timeouts_, detector_, limiter_};
+    AttemptResultRecorder results_{statistics_, timeouts_, detector_, limiter_};
     RetryBudget retry_budget_{settings_};
     RetryAfter retry_after_{settings_, limiter_, statistics_, random_};
     RequestLifecycle requests_{
         {settings_, schedule_,      bucket_,       hard_cap_,    rules_,   timeouts_,  statistics_, counter_,
          reports_,  sampled_reads_, reservations_, admission_,   tenants_, endpoints_, limiter_,    balancer_,
-         probes_,   results_,       retry_budget_, retry_after_, agenda_,  actions_}};
+         probes_,   results_,       retry_budget_, retry_after_, tasks_,   actions_}};
 };
 
 Policy::Policy(Settings settings, std::uint64_t seed, Timestamp now, Actions& actions)
@@ -145,14 +145,14 @@
     impl_->handle(now, [&] { impl_->requests().on_result(result, now); });
 }
 void Policy::on_withdrawn(Timestamp now, RequestId id) {
-    impl_->handle(now, [&] { impl_->requests().on_withdrawn(id, now); });
+    impl_->handle(now, [&] { impl_->requests().on_client_disconnected(id, now); });
 }
 void Policy::on_counter_reply(Timestamp now, const std::string& name, CounterStatus status, double total) {
     impl_->handle(now, [&] { impl_->requests().on_counter_reply(name, status, total, now); });
 }
 void Policy::on_endpoint_list(Timestamp now, EndpointListKind kind,
                               const std::vector<EndpointInfo>& entries) {
-    impl_->handle(now, [&] { impl_->endpoint_list().on_notified(now, kind, entries); });
+    impl_->handle(now, [&] { impl_->endpoint_list().on_notification(now, kind, entries); });
 }
 void Policy::on_probe_result(Timestamp now, const EndpointId& endpoint, Outcome outcome, const LoadReport&) {
     impl_->handle(now, [&] { impl_->probes().on_result(now, endpoint, outcome); });
--- a/src/policy/probe_pool.cpp
+++ b/src/policy/probe_pool.cpp
@@ -8,18 +8,20 @@
 
 using namespace std::chrono_literals;
 
-// Attempts in flight for each endpoint, by limit: with fewer this gateway's own attempts tell too little.
+// Probes are sent if the limit on attempts in flight is below this number per endpoint, since this gateway's
+// own attempts then show too little.
 constexpr double kMinAttemptsPerEndpoint = 0.125;
 constexpr double kProbesPerAttempt = 0.25;
-constexpr int kAttemptsPerProbe = 8;       // that an answered probe is used for
-constexpr Duration kMaxProbeAge = 2500ms;  // after which its answer says too little
+constexpr int kAttemptsPerProbe = 8;       // attempts that one answered probe is used for
+constexpr Duration kMaxProbeAge = 2500ms;  // older answers are dropped
 constexpr std::size_t kMaxProbedEndpoints = 16;
 
 }  // namespace
 
 void ProbePool::on_attempt_sent(Timestamp now) {
     if (!context_.settings.may_probe) return;
-    if (context_.limiter.total_limit() >= kMinAttemptsPerEndpoint * context_.endpoints.in_service()) return;
+    if (context_.limiter.total_limit() >= kMinAttemptsPerEndpoint * context_.endpoints.in_service_count())
+        return;
     Endpoint& endpoint = context_.pools.draw(context_.pools.candidates(kAllPools));
     if (endpoint.probe_in_flight) return;
     if (context_.random.uniform() >= kProbesPerAttempt * context_.slow_start.share(endpoint, now)) return;
@@ -30,17 +32,19 @@
 void ProbePool::on_result(Timestamp now, const EndpointId& id, Outcome outcome) {
     Endpoint* const endpoint = context_.endpoints.find(id);
     if (!endpoint || !std::exchange(endpoint->probe_in_flight, false)) return;
-    if (outcome == Outcome::kOk) ready_.push_back({id, now, kAttemptsPerProbe});
-    if (ready_.size() > kMaxProbedEndpoints) ready_.pop_front();
+    if (outcome == Outcome::kOk) healthy_endpoints_.push_back({id, now, kAttemptsPerProbe});
+    if (healthy_endpoints_.size() > kMaxProbedEndpoints) healthy_endpoints_.pop_front();
 }
 
-const std::deque<ProbedEndpoint>& ProbePool::ready(Timestamp now) {
-    while (!ready_.empty() && now - ready_.front().answered_at > kMaxProbeAge) ready_.pop_front();
-    return ready_;
+const std::deque<ProbedEndpoint>& ProbePool::healthy_endpoints(Timestamp now) {
+    while (!healthy_endpoints_.empty() && now - healthy_endpoints_.front().answered_at > kMaxProbeAge)
+        healthy_endpoints_.pop_front();
+    return healthy_endpoints_;
 }
 
-void ProbePool::use(std::size_t index) {
-    if (--ready_[index].attempts_left <= 0) ready_.erase(ready_.begin() + static_cast<std::ptrdiff_t>(index));
+void ProbePool::consume(std::size_t index) {
+    if (--healthy_endpoints_[index].attempts_left <= 0)
+        healthy_endpoints_.erase(healthy_endpoints_.begin() + static_cast<std::ptrdiff_t>(index));
 }
 
 }  // namespace linnetlead::policy
--- a/src/policy/probe_pool.h
+++ b/src/policy/probe_pool.h
@@ -1,8 +1,8 @@
-// Health checks of endpoints, and the endpoints that have answered one lately.
+// Sends health-check probes, and keeps the endpoints that have answered one recently.
 //
-// A gateway among hundreds sends to each endpoint too seldom to know from its own attempts that it is full,
-// slow or dead before the list says so. It therefore probes some endpoints drawn at random and prefers those
-// that answer. This hurts where an endpoint answers probes beside a full queue.
+// One of hundreds of gateways sends too few attempts to each endpoint to detect a full, slow or dead one
+// before the list reports it. It therefore probes endpoints drawn at random and prefers those that answer.
+// This is harmful if endpoints answer probes while their request queues are full.
 #pragma once
 
 #include <cstddef>
@@ -36,18 +36,18 @@
     };
     explicit ProbePool(const Context& context) : context_(context) {}
 
-    // With each attempt sent: probes an endpoint, by chance.
+    // Must be called for each attempt sent. Probes a random endpoint with a fixed probability.
     void on_attempt_sent(Timestamp now);
     void on_result(Timestamp now, const EndpointId& id, Outcome outcome);
 
-    // Endpoints whose answers still stand, oldest first.
-    const std::deque<ProbedEndpoint>& ready(Timestamp now);
-    // Uses the entry for an attempt. The index is one of ready().
-    void use(std::size_t index);
+    // Endpoints with a recent successful probe, oldest first.
+    const std::deque<ProbedEndpoint>& healthy_endpoints(Timestamp now);
+    // Counts an attempt against the entry with this index in healthy_endpoints().
+    void consume(std::size_t index);
 
 private:
     Context context_;
-    std::deque<ProbedEndpoint> ready_;
+    std::deque<ProbedEndpoint> healthy_endpoints_;
 };
 
 }  // namespace linnetlead::policy
--- a/src/policy/quota_manager.cpp
+++ b/src/policy/quota_manager.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr int kIdleIntervalsKept = 4;      // a tenant without requests is forgotten after more
-constexpr double kMinMeasuredPart = 0.25;  // of an interval: in less its demand can't be told
-// Mean durations of an attempt for which those of the process before are held to be in flight.
+constexpr int kIdleIntervalsKept = 4;      // a tenant is forgotten after more intervals without requests
+constexpr double kMinMeasuredPart = 0.25;  // of an interval; demand is not estimated from a shorter part
+// Multiple of the mean attempt duration for which attempts of the previous process count as in flight.
 constexpr double kInheritedAttemptDurations = 2;
 
 }  // namespace
@@ -33,19 +33,20 @@
     tenant.hash = hash_of(request.tenant);
     const RatePlanSettings& plan = context_.schedule.plan_of(tenant);
     tenant.is_sampled = context_.schedule.is_sampled(plan, tenant.gateway_set_size);
-    begin(request.tenant, tenant, plan.burst, now);
-    tenant.first_interval = tenant.interval;
-    // Until the total of the interval before is known, its refill stands against what may have been spent in
-    // it.
+    start_interval(request.tenant, tenant, plan.burst, now);
+    tenant.first_seen_interval = tenant.interval;
+    // Until the total of the previous interval is known, its refill offsets what the other gateways may have
+    // spent in it.
     const Timestamp previous_start = context_.schedule.start_of(tenant, tenant.interval - 1);
     tenant.bucket_level += plan.rate * to_seconds(now - previous_start);
-    // Against a cap that a restart doubles: it is taken to have been spent then, and has refilled since.
+    // Otherwise a restart would double the hard cap: its bucket counts as empty at the start of this process,
+    // and has refilled since then.
     tenant.hard_cap_updated_at = context_.started;
     return tenant;
 }
 
-// Starts the interval that `now` is in, with this much in the bucket.
-void QuotaManager::begin(const std::string& name, Tenant& tenant, double level, Timestamp now) {
+// Starts the interval that contains `now`, with this level of the token bucket.
+void QuotaManager::start_interval(const std::string& name, Tenant& tenant, double level, Timestamp now) {
     tenant.interval = context_.schedule.index_at(tenant, now);
     tenant.bucket_level = std::min(level, context_.schedule.plan_of(tenant).burst);
     tenant.bucket_updated_at = now;
@@ -55,11 +56,11 @@
 
 void QuotaManager::schedule_interval_end(const std::string& name, const Tenant& tenant) {
     const Timestamp end = context_.schedule.start_of(tenant, tenant.interval + 1);
-    context_.agenda.schedule(end, {TaskKind::kEndInterval, name});
+    context_.tasks.schedule(end, {TaskKind::kEndInterval, name});
 }
 
-// Against the allowance of both plans together: only what is left in the bucket goes over, within the new
-// burst.
+// Only the units left in the bucket are carried over, up to the new plan's burst. Otherwise the tenant could
+// use the quotas of both plans.
 void QuotaManager::change_plan(const std::string& name, Tenant& tenant, int plan, Timestamp now) {
     const double left = context_.bucket.available(tenant, now);
     const Duration old_interval = context_.schedule.interval(tenant);
@@ -74,10 +75,10 @@
     tenant.current = {};
     tenant.previous = {};
     tenant.plan_changed_at = now;
-    begin(name, tenant, left, now);
-    // The new plan's count of the interval before would say nothing.
-    tenant.read_sent = tenant.interval - 1;
-    tenant.read_done = tenant.interval - 1;
+    start_interval(name, tenant, left, now);
+    // A count of the new plan for the previous interval would contain no useful data.
+    tenant.last_read_interval = tenant.interval - 1;
+    tenant.last_known_interval = tenant.interval - 1;
     context_.hard_cap.refill(tenant, now);
 }
 
@@ -85,31 +86,32 @@
     const auto it = tenants_.find(name);
     if (it == tenants_.end()) return;
     Tenant& tenant = it->second;
-    const bool is_replaced = now < context_.schedule.start_of(tenant, tenant.interval + 1);
-    if (is_replaced) return;
+    const bool is_superseded = now < context_.schedule.start_of(tenant, tenant.interval + 1);
+    if (is_superseded) return;
     close_interval(name, tenant, now);
     if (tenant.idle_intervals > kIdleIntervalsKept && context_.hard_cap.is_full(tenant)) {
         tenants_.erase(it);
         return;
     }
-    const bool is_alone = tenant.gateway_set_size < 2;  // needs no counter
-    tenant.others_known = tenant.others_known || is_alone;
+    const bool is_only_gateway = tenant.gateway_set_size < 2;  // then no counter is needed
+    tenant.others_known = tenant.others_known || is_only_gateway;
     context_.shares.grant(tenant, now);
     schedule_interval_end(name, tenant);
 }
 
 void QuotaManager::close_interval(const std::string& name, Tenant& tenant, Timestamp now) {
     context_.bucket.refill(tenant, now);
-    const double most = context_.schedule.plan_of(tenant).burst + context_.schedule.refill(tenant);
-    tenant.bucket_level = std::min(tenant.bucket_level, most);
-    // Against shares that add up to more than the quota: the demand of an interval that a change of plan cut
-    // short is scaled to a whole one, as the other gateways' is.
+    const double max_level =
+        context_.schedule.plan_of(tenant).burst + context_.schedule.refill_per_interval(tenant);
+    tenant.bucket_level = std::min(tenant.bucket_level, max_level);
+    // The demand of an interval that a change of plan cut short is scaled to a whole one, as at the other
+    // gateways. Otherwise the shares would add up to more than the quota.
     const double part =
         tenant.plan_changed_at > Timestamp{0}
             ? to_seconds(now - tenant.plan_changed_at) / to_seconds(context_.schedule.interval(tenant))
             : 1;
     if (part >= kMinMeasuredPart) tenant.last_demand = tenant.demand / std::min(part, 1.0);
-    tenant.demand = tenant.last_demand;  // so it is reported
+    tenant.demand = tenant.last_demand;  // reported below
     tenant.plan_changed_at = {};
     if (!tenant.is_sampled && tenant.gateway_set_size > 1)
         context_.reports.report_interval(name, tenant, now);
@@ -122,7 +124,7 @@
     context_.hard_cap.refill(tenant, now);
 }
 
-// Without a counter the other gateways are taken to have spent what they ask for, and no more than their
+// Without a reachable counter, the other gateways are assumed to have spent their demand, up to their quota
 // shares.
 void QuotaManager::assume_others_spending(Tenant& tenant, Timestamp now) const {
     if (context_.settings.may_use_counter && !context_.counter.is_unreachable(now)) return;
@@ -155,11 +157,11 @@
     tenant.is_sampled =
         context_.schedule.is_sampled(context_.schedule.plan_of(tenant), tenant.gateway_set_size);
     schedule_interval_end(state.tenant, tenant);
-    // The results of attempts that the process before has in flight are not reported here.
-    const Timestamp ended =
+    // The results of the previous process's attempts are not reported to this one, so they end by a timer.
+    const Timestamp expected_end =
         now + to_duration(kInheritedAttemptDurations * context_.statistics.attempt_duration_s());
     for (int i = 0; i < tenant.attempts_in_flight; ++i) {
-        context_.agenda.schedule(ended, {TaskKind::kReleaseInheritedAttempt, state.tenant});
+        context_.tasks.schedule(expected_end, {TaskKind::kReleaseInheritedAttempt, state.tenant});
     }
 }
 
--- a/src/policy/quota_manager.h
+++ b/src/policy/quota_manager.h
@@ -1,5 +1,5 @@
-// The tenants of this gateway and the course of their quotas: arrival, interval by interval, change of plan,
-// hand-over between processes.
+// Owns the tenants known to this gateway, and drives their quotas: creation on the first request, interval
+// ends, plan changes, and transfer to another process in a hot restart.
 #pragma once
 
 #include <string>
@@ -29,29 +29,30 @@
         const TrafficStatistics& statistics;
         const SharedCounter& counter;
         DemandReports& reports;
-        Agenda& agenda;
+        TaskQueue& tasks;
         Timestamp started;  // of this process
     };
     explicit QuotaManager(const Context& context) : context_(context) {}
 
-    // The tenant of a request, made or moved to the request's plan where needed. Valid until the next event.
+    // The tenant of a request, created or switched to the request's plan if needed. Valid until the next
+    // event.
     Tenant& tenant_of(const Request& request, Timestamp now);
-    // None where the tenant is not known, or no longer.
+    // Returns nullptr if the tenant is unknown or has been forgotten.
     Tenant* find(const std::string& name);
-    // The end of the tenant's current interval, or of one that a change of plan has replaced.
+    // Handles the end of an interval. Ignores an interval that a change of plan has superseded.
     void on_interval_end(const std::string& name, Timestamp now);
-    // The time to read the total of the interval before.
+    // Reads the total of the previous interval.
     void on_read_due(const std::string& name, Timestamp now);
-    // An attempt of the process before has ended by now.
+    // Releases an attempt of the previous process, which has probably ended by now.
     void on_inherited_attempt_end(const std::string& name);
 
-    // For a hot restart: what the next process goes on from, and its taking over.
+    // Hot restart: export of the tenants' states, import in the next process, and the end of the hand-over.
     std::vector<QuotaState> states() const;
     void restore(const QuotaState& state, Timestamp now);
     void clear() { tenants_.clear(); }
 
 private:
-    void begin(const std::string& name, Tenant& tenant, double level, Timestamp now);
+    void start_interval(const std::string& name, Tenant& tenant, double level, Timestamp now);
     void change_plan(const std::string& name, Tenant& tenant, int plan, Timestamp now);
     void close_interval(const std::string& name, Tenant& tenant, Timestamp now);
     void assume_others_spending(Tenant& tenant, Timestamp now) const;
--- a/src/policy/quota_schedule.cpp
+++ b/src/policy/quota_schedule.cpp
@@ -11,16 +11,16 @@
 
 using namespace std::chrono_literals;
 
-// An interval lasts as long as the plan's burst at the plan's rate, within these bounds: shorter ones would
-// cost more calls to the counter than they save, longer ones would leave a share wrong for too long.
+// Bounds of the interval, which is the time to refill the plan's burst at the plan's rate. Shorter intervals
+// cost more counter calls than they save; longer ones keep a wrong share for too long.
 constexpr Duration kMinInterval = 1s;
 constexpr Duration kMaxInterval = 2500ms;
-// Times the decay of its count that an interval of a sampled tenant lasts: the weights stay well within a
-// double.
+// Length of a sampled tenant's interval as a multiple of its count's decay time. The weights stay well within
+// the range of a double.
 constexpr int kDecaysPerSampledInterval = 16;
-// With no more gateways than these each sees enough of the demand to report once an interval.
+// Up to this number of gateways, each sees enough of the demand to report it once per interval.
 constexpr int kMaxGatewaysForReports = 4;
-// Share of the mean latency objective for which an attempt is in flight, roughly.
+// Approximate duration of an attempt, as a share of the mean latency objective.
 constexpr double kInFlightShareOfObjective = 0.25;
 
 Duration plan_interval(const RatePlanSettings& plan) {
@@ -28,8 +28,8 @@
     return std::clamp(to_duration(plan.burst / plan.rate), kMinInterval, kMaxInterval);
 }
 
-// Shifts each tenant's intervals by its name, so that the reports of all tenants do not arrive at one
-// instant.
+// Offset of a tenant's intervals, derived from its name, so that the reports of all tenants do not arrive at
+// the same time.
 Duration stagger(const Tenant& tenant, Duration interval) {
     return Duration{static_cast<std::int64_t>(tenant.hash % static_cast<std::uint64_t>(interval.count()))};
 }
@@ -67,7 +67,7 @@
     return (now + stagger(tenant, length)) / length;
 }
 
-double QuotaSchedule::refill(const Tenant& tenant) const {
+double QuotaSchedule::refill_per_interval(const Tenant& tenant) const {
     return plan_of(tenant).rate * to_seconds(interval(tenant));
 }
 
--- a/src/policy/quota_schedule.h
+++ b/src/policy/quota_schedule.h
@@ -1,7 +1,7 @@
-// What a rate plan means for one tenant: intervals, refill, and how the tenant's demand is reported.
+// Derives a tenant's quota intervals, their refill and the way of reporting demand from its rate plan.
 //
-// Quotas are shared out interval by interval. The boundaries follow from the plan and the tenant's name
-// alone, so all gateways have the same ones without talking to each other.
+// Quotas are divided among the gateways once per interval. The boundaries depend only on the plan and the
+// tenant's name, so all gateways compute the same ones without communication.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace linnetlead::policy {
 
-// FNV-1a, 64 bits: the same at every gateway, of any build.
+// 64-bit FNV-1a hash, the same at every gateway and in every build.
 std::uint64_t hash_of(const std::string& text);
 
 class QuotaSchedule {
@@ -26,22 +26,24 @@
     Duration interval(const Tenant& tenant) const;
     // First instant of the interval with this index.
     Timestamp start_of(const Tenant& tenant, std::int64_t index) const;
-    // Index of the interval that `now` is in.
+    // Index of the interval that contains `now`.
     std::int64_t index_at(const Tenant& tenant, Timestamp now) const;
-    // Units that the plan's rate gives in an interval, over all gateways.
-    double refill(const Tenant& tenant) const;
+    // Units that the plan's rate adds to the bucket in one interval, over all gateways.
+    double refill_per_interval(const Tenant& tenant) const;
 
-    // Whether demand is reported with single requests in place of once an interval: where the even share of a
-    // gateway is under one request, an interval's share would be nought or one at nearly every gateway.
+    // Whether demand is reported with single requests and not once per interval. This applies if the even
+    // share of a gateway is below one request, since nearly every gateway's share per interval would then be
+    // zero or one request.
     bool is_sampled(const RatePlanSettings& plan, int gateway_set_size) const;
-    // Whether the gateways keep one token bucket for this tenant through the counter.
+    // Whether the gateways share one token bucket for this tenant through the counter.
     bool has_shared_bucket(const Tenant& tenant) const;
 
-    // Time in which the count of a sampled tenant decays by a factor of e: as long as an attempt is in
-    // flight, or as the bucket lasts.
+    // Time in which the count of a sampled tenant decays by a factor of e: the approximate duration of an
+    // attempt under a limit on concurrent attempts, else the plan's interval.
     Duration count_decay(const RatePlanSettings& plan) const;
-    // What a request at `now` counts for in the current interval of a sampled tenant. New amounts grow in
-    // place of old ones that decay, since the counter can only add (forward decay: Cormode et al., 2009).
+    // Weight of a request at `now` in the count of a sampled tenant's current interval. The counter can only
+    // add, so newer amounts get larger weights instead of older ones decaying (forward decay, Cormode et al.,
+    // 2009).
     double count_weight(const Tenant& tenant, Timestamp now) const;
 
 private:
--- a/src/policy/quota_shares.cpp
+++ b/src/policy/quota_shares.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-// In proportion to demand. What is granted beyond all demand goes half by demand and half evenly, since
-// demand may turn up at any gateway. Where the others' demand is unknown, or there was none, all goes evenly.
+// Divides the granted units in proportion to demand. Units beyond the total demand are divided half by demand
+// and half evenly, since new demand may arrive at any gateway. If there was no demand or that of the other
+// gateways is unknown, all units are divided evenly.
 void divide(Tenant& tenant) {
     const double total_demand = tenant.others_known ? tenant.last_demand + tenant.others_demand : 0;
     const double spare = std::max(0.0, tenant.granted - total_demand);
--- a/src/policy/quota_shares.h
+++ b/src/policy/quota_shares.h
@@ -1,4 +1,4 @@
-// The part of a tenant's units that this gateway may admit in an interval.
+// Computes the part of a tenant's units that this gateway may admit in an interval.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -12,8 +12,8 @@
     QuotaShares(const QuotaSchedule& schedule, const TokenBucket& bucket)
         : schedule_(schedule), bucket_(bucket) {}
 
-    // Determines units granted and own share for the current interval: at its start, and again within it when
-    // more is known of the other gateways.
+    // Sets the units granted and this gateway's share for the current interval. Called at its start, and
+    // again when the demand of the other gateways becomes known.
     void grant(Tenant& tenant, Timestamp now) const;
 
 private:
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -1,5 +1,6 @@
-// The one source of random numbers of a Policy. All rules draw from it in turn, so a seed and a sequence of
-// events determine every decision: a rule that draws once more or less changes the decisions of all others.
+// The only source of random numbers of a Policy. All rules draw from it, so the seed and the sequence of
+// events determine every decision. A rule that draws more or fewer numbers changes the decisions of all
+// others.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -14,62 +14,62 @@
     return exists ? &request.attempts[static_cast<std::size_t>(attempt)] : nullptr;
 }
 
-bool RequestLifecycle::is_acceptable(const Request& request) const {
+bool RequestLifecycle::is_valid(const Request& request) const {
     const bool has_class = request.traffic_class >= 0 &&
                            request.traffic_class < static_cast<int>(context_.settings.classes.size());
     return has_class && context_.schedule.has_plan(request.plan) && requests_.count(request.id) == 0;
 }
 
 void RequestLifecycle::on_request(const Request& request, Timestamp now) {
-    if (!is_acceptable(request)) return;
+    if (!is_valid(request)) return;
     Tenant& tenant = context_.tenants.tenant_of(request, now);
     tenant.demand += context_.schedule.plan_of(tenant).rate > 0 ? request.units : 1;
     context_.statistics.add_request(request.units);
-    OpenRequest open;
-    static_cast<Request&>(open) = request;
-    open.arrived = now;
-    open.awaits_counter = ask_counter(tenant, open, request.id, now);
-    OpenRequest& kept = requests_[request.id] = std::move(open);
-    if (!kept.awaits_counter) decide(request.id, kept, now);
+    OpenRequest open_request;
+    static_cast<Request&>(open_request) = request;
+    open_request.arrived_at = now;
+    open_request.is_waiting_for_counter = ask_counter(tenant, open_request, request.id, now);
+    OpenRequest& stored = requests_[request.id] = std::move(open_request);
+    if (!stored.is_waiting_for_counter) decide(request.id, stored, now);
 }
 
 bool RequestLifecycle::ask_counter(Tenant& tenant, OpenRequest& request, RequestId id, Timestamp now) {
     if (!tenant.is_sampled) return context_.reservations.reserve(tenant, request, id, now);
     tenant.unreported_demand += context_.schedule.plan_of(tenant).rate > 0 ? request.units : 1;
-    // The limiter is asked first: the read would be wasted on a request that is rejected all the same.
-    request.capacity_found = context_.limiter.has_capacity(request.traffic_class);
+    // The limiter is checked first, since a counter read would be wasted on a request that it rejects.
+    request.has_capacity = context_.limiter.has_capacity(request.traffic_class);
     request.reported =
-        request.capacity_found && context_.sampled_reads.read(request.tenant, tenant, id, request.due, now);
+        request.has_capacity && context_.sampled_reads.read(request.tenant, tenant, id, request.due, now);
     return request.reported;
 }
 
 void RequestLifecycle::on_counter_reply(const std::string& count, CounterStatus status, double total,
                                         Timestamp now) {
-    const auto answered = context_.counter.take_reply(count, status, now);
-    if (!answered) return;
-    Tenant* const tenant = context_.tenants.find(answered->tenant);
+    const auto call = context_.counter.take_reply(count, status, now);
+    if (!call) return;
+    Tenant* const tenant = context_.tenants.find(call->tenant);
     if (tenant) {
-        const bool of_request = answered->waiting_request != 0;
+        const bool of_request = call->waiting_request != 0;
         if (tenant->is_sampled && status == CounterStatus::kOk && of_request) {
-            context_.sampled_reads.on_total(*tenant, *answered, total, now);
+            context_.sampled_reads.on_total(*tenant, *call, total, now);
         }
-        context_.reports.on_total(*tenant, *answered, status, total, now);
+        context_.reports.on_total(*tenant, *call, status, total, now);
     }
-    OpenRequest* const request = find(answered->waiting_request);
-    if (!request || !std::exchange(request->awaits_counter, false)) return;
+    OpenRequest* const request = find(call->waiting_request);
+    if (!request || !std::exchange(request->is_waiting_for_counter, false)) return;
     if (tenant && request->holds_units) context_.reservations.on_reply(*tenant, *request, status, now);
-    decide(answered->waiting_request, *request, now);
+    decide(call->waiting_request, *request, now);
 }
 
 void RequestLifecycle::decide(RequestId id, OpenRequest& request, Timestamp now) {
     Tenant* const tenant = context_.tenants.find(request.tenant);
     const bool admitted = tenant && context_.timeouts.is_in_time(request, now) &&
                           context_.admission.admits(*tenant, request, now);
-    Endpoint* const endpoint = admitted ? context_.balancer.pick(request, now) : nullptr;
+    Endpoint* const endpoint = admitted ? context_.balancer.select(request, now) : nullptr;
     if (!endpoint) {
         if (tenant) context_.sampled_reads.withdraw(request, *tenant, now);
-        const bool limited = tenant && context_.schedule.plan_of(*tenant).max_concurrent > 0;
-        answer(id, request, limited && !admitted);
+        const bool has_concurrency_limit = tenant && context_.schedule.plan_of(*tenant).max_concurrent > 0;
+        answer(id, request, has_concurrency_limit && !admitted);
         forget_if_finished(id, request, now);
         return;
     }
@@ -92,12 +92,12 @@
     context_.actions.send(id, endpoint.info.id, context_.timeouts.timeout(request, may_retry_early, now));
 }
 
-// The answer is on its way: the endpoint has done its work, however long a client takes to read it.
+// Once the answer has started, the endpoint has done its work, however slowly the client reads it.
 void RequestLifecycle::on_stream_started(RequestId id, int attempt) {
     OpenRequest* const request = find(id);
     Attempt* const started = request ? find_attempt(*request, attempt) : nullptr;
     if (started && std::exchange(started->occupies_endpoint, false)) {
-        context_.endpoints.release(started->endpoint, started->sent);
+        context_.endpoints.release(started->endpoint, started->sent_at);
     }
 }
 
@@ -111,31 +111,32 @@
     --request->in_flight;
     Tenant* const tenant = context_.tenants.find(request->tenant);
     if (tenant) --tenant->attempts_in_flight;
-    context_.statistics.add_attempt(now - attempt->sent);
+    context_.statistics.add_attempt(now - attempt->sent_at);
     Endpoint* const endpoint = context_.endpoints.find(attempt->endpoint);
-    const bool by_load = endpoint && context_.results.record(*endpoint, request->traffic_class, result, now);
-    release_endpoint(*attempt, by_load && result.outcome == Outcome::kTimeout, now);
-    if (tenant) settle_units(*request, result, *tenant, now);
+    const bool is_overload =
+        endpoint && context_.results.record(*endpoint, request->traffic_class, result, now);
+    release_endpoint(*attempt, is_overload && result.outcome == Outcome::kTimeout, now);
+    if (tenant) apply_actual_units(*request, result, *tenant, now);
     if (result.concluded) request->answered = true;
     retry_or_answer(result.id, *request, result.outcome == Outcome::kConnectFailed, now);
     forget_if_finished(result.id, *request, now);
 }
 
-// Against endpoints that seem idle and are not: one may go on with work that timed out, for about as long
-// again.
-void RequestLifecycle::release_endpoint(const Attempt& attempt, bool timed_out_by_load, Timestamp now) {
+// After a timeout under load the endpoint probably continues its work for about as long again. It stays
+// occupied for that time, since it would otherwise seem idle.
+void RequestLifecycle::release_endpoint(const Attempt& attempt, bool timed_out_under_load, Timestamp now) {
     if (!attempt.occupies_endpoint) return;
-    if (timed_out_by_load) {
-        const Timestamp released = now + (now - attempt.sent);
-        context_.agenda.schedule(released, {TaskKind::kReleaseEndpoint, attempt.endpoint, attempt.sent});
+    if (timed_out_under_load) {
+        const Timestamp released = now + (now - attempt.sent_at);
+        context_.tasks.schedule(released, {TaskKind::kReleaseEndpoint, attempt.endpoint, attempt.sent_at});
     } else {
-        context_.endpoints.release(attempt.endpoint, attempt.sent);
+        context_.endpoints.release(attempt.endpoint, attempt.sent_at);
     }
 }
 
-// The units that an answer states in place of those that the request announced.
-void RequestLifecycle::settle_units(const OpenRequest& request, const AttemptResult& result, Tenant& tenant,
-                                    Timestamp now) {
+// Replaces the units announced by the request by those stated in the answer.
+void RequestLifecycle::apply_actual_units(const OpenRequest& request, const AttemptResult& result,
+                                          Tenant& tenant, Timestamp now) {
     if (result.outcome != Outcome::kOk || result.actual_units <= 0) return;
     const double difference = result.actual_units - request.units;
     context_.bucket.spend(tenant, difference, now);
@@ -143,36 +144,37 @@
         tenant.unreported_demand += difference;
 }
 
-void RequestLifecycle::retry_or_answer(RequestId id, OpenRequest& request, bool is_free, Timestamp now) {
+void RequestLifecycle::retry_or_answer(RequestId id, OpenRequest& request, bool is_exempt_from_budget,
+                                       Timestamp now) {
     if (request.answered || request.in_flight > 0) return;
-    const bool may_retry =
-        context_.timeouts.is_in_time(request, now) && (is_free || context_.retry_budget.has_token());
-    Endpoint* const endpoint = may_retry ? context_.balancer.pick(request, now) : nullptr;
+    const bool may_retry = context_.timeouts.is_in_time(request, now) &&
+                           (is_exempt_from_budget || context_.retry_budget.has_token());
+    Endpoint* const endpoint = may_retry ? context_.balancer.select(request, now) : nullptr;
     if (!endpoint) {
         answer(id, request, false);
         return;
     }
-    if (!is_free) context_.retry_budget.spend();
+    if (!is_exempt_from_budget) context_.retry_budget.spend();
     send(id, request, *endpoint, now);
 }
 
 void RequestLifecycle::answer(RequestId id, OpenRequest& request, bool by_concurrency_quota) {
     if (context_.rules.may_reject(request)) {
-        context_.actions.reject(id, context_.retry_after.advice(by_concurrency_quota));
+        context_.actions.reject(id, context_.retry_after.delay(by_concurrency_quota));
     } else {
         context_.actions.fail(id);
     }
     request.answered = true;
 }
 
-void RequestLifecycle::on_withdrawn(RequestId id, Timestamp now) {
+void RequestLifecycle::on_client_disconnected(RequestId id, Timestamp now) {
     OpenRequest* const request = find(id);
     if (!request) return;
     request->answered = true;
     forget_if_finished(id, *request, now);
 }
 
-// Units that no endpoint has used are returned to the tenant.
+// Units that no endpoint has used are returned to the tenant's token bucket.
 void RequestLifecycle::forget_if_finished(RequestId id, OpenRequest& request, Timestamp now) {
     if (!request.answered || request.in_flight > 0) return;
     if (Tenant* const tenant = context_.tenants.find(request.tenant)) {
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -1,4 +1,4 @@
-// A request's life in the decision module: arrival, admission, attempts, answer.
+// The lifecycle of a request in the decision module: arrival, admission, attempts, answer. Called by Policy.
 #pragma once
 
 #include <string>
@@ -49,10 +49,10 @@
         ConcurrencyLimiter& limiter;
         LoadBalancer& balancer;
         ProbePool& probes;
-        AttemptResults& results;
+        AttemptResultRecorder& results;
         RetryBudget& retry_budget;
         RetryAfter& retry_after;
-        Agenda& agenda;
+        TaskQueue& tasks;
         Actions& actions;
     };
     explicit RequestLifecycle(const Context& context) : context_(context) {}
@@ -61,24 +61,26 @@
     void on_counter_reply(const std::string& count, CounterStatus status, double total, Timestamp now);
     void on_stream_started(RequestId id, int attempt);
     void on_result(const AttemptResult& result, Timestamp now);
-    void on_withdrawn(RequestId id, Timestamp now);
+    void on_client_disconnected(RequestId id, Timestamp now);
 
 private:
     OpenRequest* find(RequestId id);
     Attempt* find_attempt(OpenRequest& request, int attempt) const;
-    bool is_acceptable(const Request& request) const;
-    // Reports the request to the counter as its tenant's plan needs it. True where it waits for the reply.
+    bool is_valid(const Request& request) const;
+    // Reports the request to the counter if its tenant's plan requires it. Returns true if the request waits
+    // for the reply.
     bool ask_counter(Tenant& tenant, OpenRequest& request, RequestId id, Timestamp now);
-    // Admits or rejects a request that waits for nothing more.
+    // Admits or rejects a request that does not wait for the counter.
     void decide(RequestId id, OpenRequest& request, Timestamp now);
     void send(RequestId id, OpenRequest& request, Endpoint& endpoint, Timestamp now);
-    void release_endpoint(const Attempt& attempt, bool timed_out_by_load, Timestamp now);
-    void settle_units(const OpenRequest& request, const AttemptResult& result, Tenant& tenant, Timestamp now);
-    // Sends another attempt where that may help, or answers. is_free: the retry takes nothing from the
-    // budget.
-    void retry_or_answer(RequestId id, OpenRequest& request, bool is_free, Timestamp now);
+    void release_endpoint(const Attempt& attempt, bool timed_out_under_load, Timestamp now);
+    void apply_actual_units(const OpenRequest& request, const AttemptResult& result, Tenant& tenant,
+                            Timestamp now);
+    // Sends another attempt if that is allowed and useful, else answers the request. is_exempt_from_budget:
+    // the retry takes no token from the retry budget.
+    void retry_or_answer(RequestId id, OpenRequest& request, bool is_exempt_from_budget, Timestamp now);
     void answer(RequestId id, OpenRequest& request, bool by_concurrency_quota);
-    // Forgets a request that is answered and has no attempt in flight.
+    // Removes a request that is answered and has no attempt in flight.
     void forget_if_finished(RequestId id, OpenRequest& request, Timestamp now);
 
     Context context_;
--- a/src/policy/reservations.h
+++ b/src/policy/reservations.h
@@ -1,8 +1,8 @@
-// Reservations of single requests' units on the shared counter.
+// Reserves the units of single requests on the shared counter.
 //
-// A quota share is used without asking while much of the token bucket is left. Near its end, and where the
-// share rejects a request, its units are reserved on the counter before it is admitted: so what one gateway's
-// share leaves unused is not rejected at another.
+// While much of the token bucket is left, requests within the gateway's quota share are admitted without a
+// counter call. When the bucket is nearly empty, or the share rejects a request, the units are reserved on
+// the counter before the request is admitted. So units that one gateway leaves unused can be used at another.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -33,14 +33,14 @@
     };
     explicit Reservations(const Context& context) : context_(context) {}
 
-    // Decides on a request that has just arrived, or reserves its units. True where it has to wait for the
-    // counter's reply; the units are then held by the request. Else its quota_decision may be set.
+    // Decides on a newly arrived request, or reserves its units. Returns true if the request has to wait for
+    // the counter's reply; it then holds the units. Otherwise its quota_decision may have been set.
     bool reserve(Tenant& tenant, OpenRequest& request, RequestId id, Timestamp now);
-    // Decides on a request whose reservation has been answered.
+    // Decides on a request after the reply to its reservation.
     void on_reply(Tenant& tenant, OpenRequest& request, CounterStatus status, Timestamp now);
 
 private:
-    static bool is_just_met(const Tenant& tenant);
+    static bool is_new_tenant(const Tenant& tenant);
 
     Context context_;
 };
--- a/src/policy/retry_after.cpp
+++ b/src/policy/retry_after.cpp
@@ -6,9 +6,9 @@
 
 namespace linnetlead::policy {
 
-// Under overload an early repeat only adds to the requests; under less pressure it is in time, and no advice
-// is given. Spread by chance, so that the clients do not come back together.
-Duration RetryAfter::advice(bool by_quota) {
+// Under overload an early retry only adds load. Otherwise an immediate retry may succeed, and no delay is
+// set. The delays are randomised, so that the clients do not retry at the same time.
+Duration RetryAfter::delay(bool by_quota) {
     if (!settings_.retry_after || (!by_quota && !limiter_.is_overloaded())) return Duration{0};
     if (by_quota) {
         const double attempts = random_.uniform() + 1;  // one to two mean attempts
--- a/src/policy/retry_after.h
+++ b/src/policy/retry_after.h
@@ -1,4 +1,4 @@
-// How long a rejected client is asked to wait before it sends the request again.
+// Computes how long a rejected client is asked to wait before it retries the request.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -14,9 +14,9 @@
                const TrafficStatistics& statistics, RandomSource& random)
         : settings_(settings), limiter_(limiter), statistics_(statistics), random_(random) {}
 
-    // 0: no advice. by_quota: a limit of concurrent attempts rejected it, which has capacity again as soon as
-    // one of the tenant's attempts ends.
-    Duration advice(bool by_quota);
+    // The delay, or 0 for none. by_quota: a limit on concurrent attempts rejected the request, which has
+    // capacity again as soon as one of the tenant's attempts ends.
+    Duration delay(bool by_quota);
 
 private:
     const Settings& settings_;
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -1,8 +1,8 @@
-// Tokens for retries: each first attempt earns a part of one, each retry takes one, but for one after a
-// failed connect. Unit: retries.
+// Token budget for retries: each first attempt adds a part of a token, and each retry takes one, except a
+// retry after a failed connect.
 //
-// Against retries that multiply the load of endpoints which fail under load: over time at most a fixed share
-// of the first attempts is retried.
+// Prevents retry storms: endpoints that fail under load would get even more load from retries. Over time at
+// most a fixed share of the first attempts is retried.
 #pragma once
 
 #include <algorithm>
@@ -24,8 +24,8 @@
 
 private:
     static constexpr double kTokensPerFirstAttempt = 0.1;  // one retry for ten first attempts
-    // Over all gateways, and at least one at each: a fixed number at each would be thousands with hundreds of
-    // them.
+    // Sum over all gateways; each has at least one. A fixed capacity per gateway would allow thousands of
+    // retries at once with hundreds of gateways.
     static constexpr double kTotalCapacity = 20;  // tokens
 
     const Settings& settings_;
--- a/src/policy/sampled_reads.h
+++ b/src/policy/sampled_reads.h
@@ -1,8 +1,8 @@
-// Reports and reads of tenants whose even quota share is under one request (QuotaSchedule::is_sampled).
+// Counter calls for tenants whose even quota share is below one request (QuotaSchedule::is_sampled).
 //
-// A request adds its tenant's demand to the counter and waits for the total; from it follows the same
-// admission probability at every gateway. Fewer requests do so where the counter is slow or the last read
-// still stands.
+// A request adds its tenant's demand to the counter and waits for the total, from which every gateway
+// computes the same admission probability. Requests skip this while the last total is recent, and a part of
+// them while the counter is slow.
 #pragma once
 
 #include <string>
@@ -21,12 +21,13 @@
                  RandomSource& random)
         : settings_(settings), schedule_(schedule), counter_(counter), random_(random) {}
 
-    // Reports with this request and reads the total. True where a call was made, and the request has to wait.
+    // Reports the demand and reads the total. Returns true if a call was made; the request then waits for the
+    // reply.
     bool read(const std::string& name, Tenant& tenant, RequestId id, Timestamp due, Timestamp now);
-    // Takes in the total of such a call.
-    void on_total(Tenant& tenant, const CounterCall& answered, double total, Timestamp now) const;
-    // Takes back the report of a request under a limit of concurrent attempts that was rejected after its
-    // read.
+    // Updates the admission probability from the total of such a call.
+    void on_total(Tenant& tenant, const CounterCall& call, double total, Timestamp now) const;
+    // Subtracts the report of a request that was rejected after its read, under a limit on concurrent
+    // attempts.
     void withdraw(const OpenRequest& request, const Tenant& tenant, Timestamp now);
 
 private:
--- a/src/policy/settings_check.cpp
+++ b/src/policy/settings_check.cpp
@@ -1,4 +1,4 @@
-// What settings the decision module can be made of.
+// Validation of Settings. Errors name the setting by its external name.
 #include <cmath>
 #include <stdexcept>
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-void require(bool good, const std::string& setting) {
-    if (!good) throw std::invalid_argument("unusable setting: " + setting);
+void require(bool is_valid, const std::string& setting) {
+    if (!is_valid) throw std::invalid_argument("invalid setting: " + setting);
 }
 
 }  // namespace
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Multiple of its capacity at which an endpoint usually fails. One that fails at less starts with a smaller
-// share.
+// Multiple of its capacity at which an endpoint usually fails. Endpoints that fail at a lower multiple start
+// with a smaller share.
 constexpr double kUsualOverloadMultiple = 3;
 
 }  // namespace
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,4 @@
-// The share of an endpoint's capacity that it is sure to have after its start.
+// Slow start: limits a newly started endpoint to a growing share of its capacity.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -10,8 +10,8 @@
 public:
     explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
-    // From a first share at the endpoint's start linearly up to 1 at the end of the slow-start window; 1
-    // where the start is not known or long ago.
+    // Grows linearly from the initial share at the endpoint's start to 1 at the end of the slow-start window.
+    // 1 if the start time is unknown or before the window.
     double share(const Endpoint& endpoint, Timestamp now) const;
 
 private:
--- a/src/policy/tenant.h
+++ b/src/policy/tenant.h
@@ -1,4 +1,4 @@
-// What this gateway knows of one tenant.
+// The state that this gateway keeps for one tenant.
 #pragma once
 
 #include <cstdint>
@@ -8,12 +8,12 @@
 namespace linnetlead::policy {
 
 struct Tenant : QuotaState {
-    std::uint64_t hash = 0;            // of its name: the same at every gateway
-    std::int64_t first_interval = -1;  // in which this gateway met it; of one that was handed over, -1
-    std::int64_t read_sent = -1;       // the last interval whose total was read after its end
-    std::int64_t read_done = -1;       // the last interval whose total was received
-    Timestamp plan_changed_at{};       // where a change of plan cut the current interval short; else 0
-    bool is_sampled = false;           // demand is reported with single requests, not once an interval
+    std::uint64_t hash = 0;                 // of its name; the same at every gateway
+    std::int64_t first_seen_interval = -1;  // of its first request here; -1 after a hot restart
+    std::int64_t last_read_interval = -1;   // the last interval whose total was requested after its end
+    std::int64_t last_known_interval = -1;  // the last interval whose total was received
+    Timestamp plan_changed_at{};            // within the current interval; 0 if the plan did not change in it
+    bool is_sampled = false;                // see QuotaSchedule::is_sampled
 };
 
 }  // namespace linnetlead::policy
--- a/src/policy/token_bucket.cpp
+++ b/src/policy/token_bucket.cpp
@@ -7,8 +7,8 @@
 
 namespace linnetlead::policy {
 
-// What is admitted beyond the quota is not held against the tenant later: the level stays within one request
-// of nought.
+// Units admitted beyond the quota are not charged to later requests: the debt is limited to the units of one
+// request.
 void TokenBucket::refill(Tenant& tenant, Timestamp now) const {
     const double gained = schedule_.plan_of(tenant).rate * to_seconds(now - tenant.bucket_updated_at);
     tenant.bucket_level = std::max(tenant.bucket_level, -settings_.max_units) + gained;
@@ -22,7 +22,7 @@
 
 void TokenBucket::spend(Tenant& tenant, double units, Timestamp now) const {
     refill(tenant, now);
-    const bool others_known = tenant.read_done >= tenant.interval - 1;
+    const bool others_known = tenant.last_known_interval >= tenant.interval - 1;
     if (others_known) tenant.bucket_level = std::min(tenant.bucket_level, schedule_.plan_of(tenant).burst);
     tenant.bucket_level -= units;
     tenant.current.spent += units;
--- a/src/policy/token_bucket.h
+++ b/src/policy/token_bucket.h
@@ -1,7 +1,7 @@
-// The token bucket of a tenant's rate quota, as far as this gateway knows it.
+// This gateway's view of the token bucket of a tenant's rate quota.
 //
-// One bucket stands for all gateways. It refills here as if the other gateways used nothing, until the
-// counter tells what they used (DemandReports). Units.
+// All gateways share one bucket. Its local copy refills as if the other gateways spent nothing, until the
+// counter reports what they spent (DemandReports). All amounts are in units.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -15,13 +15,13 @@
     TokenBucket(const Settings& settings, const QuotaSchedule& schedule)
         : settings_(settings), schedule_(schedule) {}
 
-    // Brings the level up to `now`. It may stand over the burst until the others' use is known.
+    // Adds the refill up to `now`. The level may exceed the burst until the other gateways' use is known.
     void refill(Tenant& tenant, Timestamp now) const;
-    // Units that are left at `now`, at most the burst.
+    // Units available at `now`, at most the burst.
     double available(const Tenant& tenant, Timestamp now) const;
-    // Takes units, or returns them where negative. The level may fall below nought.
+    // Takes units, or returns them if negative. The level may become negative.
     void spend(Tenant& tenant, double units, Timestamp now) const;
-    // Returns the units that a request holds and that no endpoint has used, once.
+    // Returns the units that the request holds, if any. The request then holds none.
     void return_units(Tenant& tenant, OpenRequest& request, Timestamp now) const;
 
 private:
--- a/tests/policy_attempts_test.cpp
+++ b/tests/policy_attempts_test.cpp
@@ -1,4 +1,4 @@
-// Attempts of a request: what follows each outcome, and what may be sent again.
+// Tests of attempts: what follows each outcome, and what may be retried.
 #include <stdexcept>
 
 #include "harness.h"
@@ -6,9 +6,9 @@
 namespace linnetlead::policy::testing {
 namespace {
 
-TEST(SettingsCheck, NamesTheUnusableSetting) {
+TEST(SettingsCheck, ErrorNamesTheInvalidSetting) {
     Recorder out;
-    const auto complaint = [&](const Settings& s) {
+    const auto error_of = [&](const Settings& s) {
         try {
             const Policy p(s, 1, 0s, out);
         } catch (const std::invalid_argument& e) {
@@ -18,17 +18,17 @@
     };
     Settings s = make_settings();
     s.classes.clear();
-    EXPECT_NE(complaint(s).find("classes"), std::string::npos);
+    EXPECT_NE(error_of(s).find("classes"), std::string::npos);
     s = make_settings();
     s.plans[0].rate = -1;
-    EXPECT_NE(complaint(s).find("plans.rate"), std::string::npos);
+    EXPECT_NE(error_of(s).find("plans.rate"), std::string::npos);
     s = make_settings();
     s.self = 2;
-    EXPECT_NE(complaint(s).find("self"), std::string::npos);
-    EXPECT_EQ(complaint(make_settings()), "");
+    EXPECT_NE(error_of(s).find("self"), std::string::npos);
+    EXPECT_EQ(error_of(make_settings()), "");
 }
 
-TEST(Attempts, NothingFollowsASuccess) {
+TEST(Attempts, NoAttemptFollowsASuccess) {
     Gateway g;
     const auto id = g.submit();
     ASSERT_EQ(g.out.sent.size(), 1U);
@@ -38,37 +38,37 @@
     EXPECT_TRUE(g.out.failed.empty());
 }
 
-// What follows an outcome, by idempotency.
-struct RepeatCase {
+// Whether an attempt is retried, by idempotency and outcome.
+struct RetryCase {
     Idempotency idempotency;
     Outcome outcome;
-    bool resent;
+    bool is_retried;
 };
-class RepeatTest : public ::testing::TestWithParam<RepeatCase> {};
-TEST_P(RepeatTest, RetriesOnlyWhatMayRunAgain) {
+class RetryTest : public ::testing::TestWithParam<RetryCase> {};
+TEST_P(RetryTest, RetriesOnlyWhatMayRunAgain) {
     Gateway g(make_settings(GetParam().idempotency));
     const auto id = g.submit();
     g.resolve(id, GetParam().outcome);
-    EXPECT_EQ(g.sends(id), GetParam().resent ? 2 : 1);
+    EXPECT_EQ(g.sends(id), GetParam().is_retried ? 2 : 1);
     EXPECT_TRUE(g.out.rejected.empty());
-    EXPECT_EQ(g.out.failed.size(), GetParam().resent ? 0U : 1U);
+    EXPECT_EQ(g.out.failed.size(), GetParam().is_retried ? 0U : 1U);
 }
-INSTANTIATE_TEST_SUITE_P(
-    Classes, RepeatTest,
-    ::testing::Values(RepeatCase{Idempotency::kIdempotent, Outcome::kTimeout, true},
-                      RepeatCase{Idempotency::kIdempotent, Outcome::kReset, true},
-                      RepeatCase{Idempotency::kIdempotent, Outcome::kError, true},
-                      RepeatCase{Idempotency::kIdempotent, Outcome::kRejected, true},
-                      RepeatCase{Idempotency::kIdempotent, Outcome::kConnectFailed, true},
-                      RepeatCase{Idempotency::kKeyed, Outcome::kTimeout, true},
-                      RepeatCase{Idempotency::kKeyed, Outcome::kReset, true},
-                      RepeatCase{Idempotency::kKeyed, Outcome::kError, true},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kTimeout, false},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kReset, false},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kError, false},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kCancelled, false},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kRejected, true},
-                      RepeatCase{Idempotency::kNonIdempotent, Outcome::kConnectFailed, true}));
+INSTANTIATE_TEST_SUITE_P(Classes, RetryTest,
+                         ::testing::Values(RetryCase{Idempotency::kIdempotent, Outcome::kTimeout, true},
+                                           RetryCase{Idempotency::kIdempotent, Outcome::kReset, true},
+                                           RetryCase{Idempotency::kIdempotent, Outcome::kError, true},
+                                           RetryCase{Idempotency::kIdempotent, Outcome::kRejected, true},
+                                           RetryCase{Idempotency::kIdempotent, Outcome::kConnectFailed, true},
+                                           RetryCase{Idempotency::kKeyed, Outcome::kTimeout, true},
+                                           RetryCase{Idempotency::kKeyed, Outcome::kReset, true},
+                                           RetryCase{Idempotency::kKeyed, Outcome::kError, true},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kTimeout, false},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kReset, false},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kError, false},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kCancelled, false},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kRejected, true},
+                                           RetryCase{Idempotency::kNonIdempotent, Outcome::kConnectFailed,
+                                                     true}));
 
 TEST(AttemptRules, KeyedRequestIsRetriedOnlyWhereItsKeyIsKnown) {
     for (const KeyScope scope : {KeyScope::kZone, KeyScope::kCell}) {
@@ -79,14 +79,14 @@
                                   {make_endpoint("b", scope == KeyScope::kZone ? "z2" : "z1", 2)});
         g.resolve(id, Outcome::kReset);
         EXPECT_EQ(g.sends(id), 1);
-        EXPECT_EQ(g.out.failed.size(), 1U) << "a rejection would promise that nothing ran";
+        EXPECT_EQ(g.out.failed.size(), 1U) << "a rejection would state that the request has not run";
         EXPECT_TRUE(g.out.rejected.empty());
     }
-    Gateway same(make_settings(Idempotency::kKeyed, KeyScope::kCell),
-                 {make_endpoint("a", "z1", 1), make_endpoint("b", "z1", 1)});
-    const auto id = same.submit();
-    same.resolve(id, Outcome::kReset);
-    EXPECT_EQ(same.sends(id), 2);
+    Gateway same_cell(make_settings(Idempotency::kKeyed, KeyScope::kCell),
+                      {make_endpoint("a", "z1", 1), make_endpoint("b", "z1", 1)});
+    const auto id = same_cell.submit();
+    same_cell.resolve(id, Outcome::kReset);
+    EXPECT_EQ(same_cell.sends(id), 2);
 }
 
 TEST(AttemptRules, KeyedRequestIsNotRetriedAfterItsKeyWindow) {
@@ -96,7 +96,7 @@
     const auto id = g.submit();
     g.resolve(id, Outcome::kReset, 95ms);
     EXPECT_EQ(g.sends(id), 1);
-    EXPECT_EQ(g.out.rejected.size(), 1U);  // all endpoints drop its repeats, so it may be rejected
+    EXPECT_EQ(g.out.rejected.size(), 1U);  // all endpoints deduplicate its retries, so it may be rejected
 }
 
 TEST(Attempts, TimeoutAtTheDeadlineFailsAtOnce) {
@@ -119,9 +119,9 @@
 }
 
 TEST(AttemptTimeouts, IdempotentRequestIsRetriedElsewhereWithinItsObjective) {
-    for (const bool copies : {true, false}) {
+    for (const bool may_hedge : {true, false}) {
         Settings s = make_settings(Idempotency::kIdempotent);
-        s.may_hedge = copies;
+        s.may_hedge = may_hedge;
         Gateway g(s);
         const auto id = g.submit();
         EXPECT_LE(g.out.sent.at(0).timeout, 600ms) << "half of the objective";
@@ -131,9 +131,10 @@
         ASSERT_EQ(g.sends(id), 2);
         EXPECT_NE(g.out.sent[0].endpoint, g.out.sent[1].endpoint);
     }
-    Gateway unsafe(make_settings(Idempotency::kNonIdempotent));
-    unsafe.submit();
-    EXPECT_GE(unsafe.out.sent.at(0).timeout, 900ms) << "no retry may follow: it gets the whole time";
+    Gateway non_idempotent(make_settings(Idempotency::kNonIdempotent));
+    non_idempotent.submit();
+    EXPECT_GE(non_idempotent.out.sent.at(0).timeout, 900ms)
+        << "no retry is allowed, so it gets the whole time";
 }
 
 TEST(Policy, EventsOnUnknownRequestsEndpointsAndCountsAreIgnored) {
--- a/tests/policy_endpoints_test.cpp
+++ b/tests/policy_endpoints_test.cpp
@@ -1,4 +1,4 @@
-// Endpoints: list, outlier detection, concurrency limiter, slow start, load balancer.
+// Tests of the endpoint list, outlier detection, concurrency limiter, slow start and load balancer.
 #include <map>
 
 #include "harness.h"
@@ -6,7 +6,7 @@
 namespace linnetlead::policy::testing {
 namespace {
 
-TEST(EndpointList, NothingIsSentToDrainingOrRemovedEndpoints) {
+TEST(EndpointList, DrainingAndRemovedEndpointsGetNoAttempts) {
     Gateway g;
     EndpointInfo b = make_endpoint("b");
     b.state = EndpointState::kDraining;
@@ -33,7 +33,7 @@
     EXPECT_EQ(g.out.sent.size(), 1U);
 }
 
-TEST(EndpointList, PolledListIsSubscribedToAgainAfterABreak) {
+TEST(EndpointList, PolledListIsResubscribedAfterAFailure) {
     Settings s = make_settings();
     EXPECT_EQ(Gateway(s).out.subscriptions, 0);
     s.list_is_polled = true;
@@ -43,7 +43,7 @@
     g.run_to(g.now + 3s);
     EXPECT_EQ(g.out.subscriptions, 2);
     g.submit();
-    EXPECT_EQ(g.out.sent.size(), 1U) << "the last list stands";
+    EXPECT_EQ(g.out.sent.size(), 1U) << "the last list stays valid";
 }
 
 TEST(OutlierDetector, FailingEndpointIsAvoidedAndTriedAgainLater) {
@@ -51,9 +51,9 @@
     std::map<EndpointId, int> early;
     for (int i = 0; i < 60; ++i) {
         const auto id = g.submit();
-        const auto server = g.out.sent.back().endpoint;
-        if (i >= 20) ++early[server];
-        g.resolve(id, server == "a" ? Outcome::kReset : Outcome::kOk, 5ms);
+        const auto endpoint = g.out.sent.back().endpoint;
+        if (i >= 20) ++early[endpoint];
+        g.resolve(id, endpoint == "a" ? Outcome::kReset : Outcome::kOk, 5ms);
         if (g.sends(id) == 2) g.resolve(id, Outcome::kOk, 5ms);
     }
     EXPECT_LE(early["a"], 4);
@@ -70,8 +70,8 @@
     EXPECT_GE(later, 10);
 }
 
-TEST(LoadBalancer, EndpointWithoutAnswersIsAvoidedBeforeAnyTimeout) {
-    // It accepts and never answers: the attempts in flight at it tell, before any of them times out.
+TEST(LoadBalancer, UnresponsiveEndpointIsAvoidedBeforeAnyTimeout) {
+    // It accepts attempts and never answers. Its attempts in flight reveal this before any of them times out.
     Settings s = make_settings(Idempotency::kNonIdempotent);
     Gateway g(s);
     int to_a = 0;
@@ -95,8 +95,9 @@
     EXPECT_EQ(g.out.sent.size(), before + 1);
 }
 
-TEST(ConcurrencyLimiter, LateAnswersLowerTheLimitOfAnEndpoint) {
-    // Every answer comes after its objective: attempts in flight fall to a few, the rest is rejected at once.
+TEST(ConcurrencyLimiter, LateAnswersLowerTheLimit) {
+    // Every answer misses its objective: the limit falls to a few attempts, and other requests are rejected
+    // at once.
     Settings s = make_settings(Idempotency::kNonIdempotent);
     Gateway g(s);
     for (int i = 0; i < 200; ++i) {
@@ -125,9 +126,9 @@
     EXPECT_LE(sent["warming"], sent["a"] / 2);
 }
 
-// An endpoint that had just restarted got nothing for 5 s while the others were hardly busy: its expected
-// wait counted as four times theirs, and the slow-start share was applied to its draws as well.
-TEST(SlowStart, WarmingEndpointIsUsedAmongIdleOnesToo) {
+// Guards against a restarted endpoint that gets no attempts (for 5 s) while its peers are nearly idle: the
+// slow-start share quadrupled its expected wait, and was applied to the random draws as well.
+TEST(SlowStart, WarmingEndpointIsUsedWhileItsPeersAreIdle) {
     Gateway g(make_settings(), {make_endpoint("a"), make_endpoint("b"), make_endpoint("c"),
                                 make_endpoint("warming", "z1", 0, 100s)});
     std::map<EndpointId, int> sent;
@@ -140,9 +141,9 @@
     EXPECT_LE(sent["warming"], 400 / 4 / 2) << "its slow-start share, from a quarter up, of what a peer gets";
 }
 
-// Clients that read slowly kept the attempts of finished endpoints in flight, so that these counted as full
-// and requests were rejected.
-TEST(EndpointSet, StreamThatHasStartedNoLongerOccupiesItsEndpoint) {
+// Guards against endpoints that count as full after they have finished, because slow clients keep their
+// attempts in flight; requests were then rejected.
+TEST(EndpointSet, StartedStreamNoLongerOccupiesItsEndpoint) {
     Gateway g(make_settings(), {make_endpoint("a")});
     const auto fill = [&g] {
         std::vector<RequestId> ids;
@@ -161,7 +162,8 @@
     g.policy.on_stream_started(g.now, 999, 0);
     const auto second = fill();
     EXPECT_FALSE(second.empty());
-    // Cancelled attempts say nothing of load; those whose answers had started release nothing twice.
+    // Cancelled attempts do not change the limit, and attempts whose answers had started are not released
+    // twice.
     for (const RequestId id : first) {
         g.policy.on_withdrawn(g.now, id);
         g.resolve_now(id, Outcome::kCancelled, 10ms);
@@ -170,8 +172,8 @@
 }
 
 TEST(ConcurrencyLimiter, ManyGatewaysStartWithASmallShareOfEachEndpoint) {
-    // Incidents i2969e8 and iba0be4: a dozen gateways, each with an initial limit of six attempts at every
-    // endpoint, overloaded all endpoints at the start.
+    // Guards against overload at the start: a dozen gateways, each with an initial limit of six attempts per
+    // endpoint, overloaded all endpoints (incidents i2969e8 and iba0be4).
     Settings s = make_settings();
     s.gateways = 12;
     Gateway g(s);
@@ -190,20 +192,20 @@
     }
     const auto before = g.out.sent.size();
     for (int i = 0; i < 20; ++i) g.submit();
-    EXPECT_GE(g.out.sent.size() - before, 1U) << "one is sent, as a trial";
-    EXPECT_LE(g.out.sent.size() - before, 3U) << "and no more at once than chance explains";
+    EXPECT_GE(g.out.sent.size() - before, 1U) << "one trial attempt is sent";
+    EXPECT_LE(g.out.sent.size() - before, 3U) << "no more at once than random variation explains";
 }
 
-TEST(ConcurrencyLimiter, UnansweredAttemptsAmongQuickAnswersLeaveTheLimit) {
-    // Endpoints that leave one class unanswered are not busy, and rejecting more would not help. Late answers
-    // are a sign of load and lower the limit.
-    const auto sent_of_hundred = [](Outcome outcome, Duration latency) {
+TEST(ConcurrencyLimiter, UnansweredAttemptsAmongQuickAnswersDoNotLowerTheLimit) {
+    // Endpoints that do not answer one class are not overloaded, and rejecting more requests would not help.
+    // Late answers are a sign of load and lower the limit.
+    const auto sent_of_100 = [](Outcome outcome, Duration latency) {
         Settings s = make_settings(Idempotency::kNonIdempotent);
         s.gateways = 50;
         Gateway g(s, [] {
-            std::vector<EndpointInfo> servers;
-            for (int i = 0; i < 20; ++i) servers.push_back(make_endpoint("s" + std::to_string(i)));
-            return servers;
+            std::vector<EndpointInfo> endpoints;
+            for (int i = 0; i < 20; ++i) endpoints.push_back(make_endpoint("s" + std::to_string(i)));
+            return endpoints;
         }());
         for (int i = 0; i < 120; ++i) {
             const auto id = g.submit();
@@ -226,13 +228,13 @@
         }
         return g.out.sent.size() - before;
     };
-    EXPECT_GE(sent_of_hundred(Outcome::kTimeout, 900ms), 60U);
-    EXPECT_LE(sent_of_hundred(Outcome::kOk, 900ms), 40U);
+    EXPECT_GE(sent_of_100(Outcome::kTimeout, 900ms), 60U);
+    EXPECT_LE(sent_of_100(Outcome::kOk, 900ms), 40U);
 }
 
-// An endpoint that drains before the list says so rejects everything at once. It therefore seems idle, and
-// would be sent ever more.
-TEST(OutlierDetector, EndpointThatRejectsAllIsEjectedForAWhile) {
+// An endpoint that drains before the list says so rejects everything at once. It would seem idle, and get
+// more and more attempts.
+TEST(OutlierDetector, EndpointThatRejectsEverythingIsEjectedTemporarily) {
     auto settings = make_settings();
     settings.gateways = 1;
     Gateway g(settings);
@@ -241,7 +243,7 @@
         for (const auto& s : g.out.sent) n += s.endpoint == "a" ? 1 : 0;
         return n;
     };
-    for (int i = 0; i < 40; ++i) {  // the others keep what they get, so that they soon have no capacity
+    for (int i = 0; i < 40; ++i) {  // the other endpoints do not answer, so they soon have no capacity
         const auto id = g.submit();
         const bool to_a = g.sends(id) > 0 && g.out.sent.back().endpoint == "a";
         if (to_a) g.resolve(id, Outcome::kRejected, 1ms);
--- a/tests/policy_large_fleet_test.cpp
+++ b/tests/policy_large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// The rules at a gateway among hundreds, each of which sees little of the traffic.
+// Tests of a gateway in a fleet of hundreds, each of which sees little of the traffic.
 #include <array>
 #include <cmath>
 #include <deque>
@@ -15,35 +15,36 @@
 namespace {
 
 std::vector<EndpointInfo> many_endpoints(int n) {
-    std::vector<EndpointInfo> servers;
-    for (int i = 0; i < n; ++i) servers.push_back(make_endpoint("s" + std::to_string(i)));
-    return servers;
+    std::vector<EndpointInfo> endpoints;
+    for (int i = 0; i < n; ++i) endpoints.push_back(make_endpoint("s" + std::to_string(i)));
+    return endpoints;
 }
 
-TEST(LoadBalancer, ManyGatewaysDrawByWeightAndNotTheLargestAlone) {
-    // With no attempts in flight anywhere, every gateway sent to the few endpoints of the greatest weight;
-    // the busiest got 4.6 times the mean.
+TEST(LoadBalancer, ManyGatewaysDrawByWeightAndNotOnlyTheLargest) {
+    // Guards against gateways that all select the few endpoints with the greatest weight while no attempts
+    // are in flight; the busiest then got 4.6 times the mean.
     Settings s = make_settings();
     s.gateways = 200;
-    auto servers = many_endpoints(40);
-    for (int i = 0; i < 10; ++i) servers[static_cast<std::size_t>(i)].weight = 1.3;
-    int to_the_big = 0;
+    auto endpoints = many_endpoints(40);
+    for (int i = 0; i < 10; ++i) endpoints[static_cast<std::size_t>(i)].weight = 1.3;
+    int to_largest = 0;
     int all = 0;
     for (int gateway = 0; gateway < 200; ++gateway) {
         s.self = gateway;
-        Gateway g(s, servers, 100s + gateway * 1ms, static_cast<std::uint64_t>(gateway));
+        Gateway g(s, endpoints, 100s + gateway * 1ms, static_cast<std::uint64_t>(gateway));
         g.submit();
         for (const auto& sent : g.out.sent) {
             ++all;
-            to_the_big += sent.endpoint.size() == 2 ? 1 : 0;
+            to_largest += sent.endpoint.size() == 2 ? 1 : 0;
         }
     }
     EXPECT_GE(all, 100);
-    EXPECT_LE(to_the_big, all / 2) << "ten of forty endpoints, 30% of the weight";
+    EXPECT_LE(to_largest, all / 2) << "ten of forty endpoints, 30% of the weight";
 }
 
-TEST(SlowStart, ManyGatewaysTogetherKeepTheShare) {
-    // A single attempt from each of 300 gateways would overload it: the share is kept by chance.
+TEST(SlowStart, ShareHoldsOverManyGateways) {
+    // A single attempt from each of 300 gateways would overload the endpoint, so the share is applied at
+    // random.
     Settings s = make_settings();
     s.gateways = 300;
     int sent = 0;
@@ -56,45 +57,46 @@
         }
         sent += static_cast<int>(g.out.sent.size());
     }
-    EXPECT_GT(sent, 0) << "it has to get some";
-    EXPECT_LE(sent, 3000 * 0.3) << "all endpoints warm up at a quarter: so much is admitted";
+    EXPECT_GT(sent, 0) << "the endpoint has to get some attempts";
+    EXPECT_LE(sent, 3000 * 0.3)
+        << "the only endpoint is in slow start at a quarter, which bounds what is admitted";
 }
 
 TEST(SampledReads, RequestReportsDemandAndWaitsForTheTotal) {
     Settings s = make_settings();
     s.gateways = 100;
-    s.plans[0].rate = s.plans[0].burst = 5;  // an even share of a 50th of this is far under one request
+    s.plans[0].rate = s.plans[0].burst = 5;  // an even share, a 50th of this, is far below one request
     Gateway g(s, many_endpoints(80));
     g.now = 102s;
-    const auto calm = g.submit(1, "calm", 50);
-    EXPECT_EQ(g.sends(calm), 0);
-    EXPECT_TRUE(g.out.rejected.empty()) << "waits for the reply";
+    const auto light = g.submit(1, "light", 50);
+    EXPECT_EQ(g.sends(light), 0);
+    EXPECT_TRUE(g.out.rejected.empty()) << "it waits for the reply";
     for (const auto& c : std::vector<Recorder::Counted>(g.out.counted)) {
         g.policy.on_counter_reply(g.now, c.name, CounterStatus::kOk, c.amount);
     }
-    EXPECT_EQ(g.sends(calm), 1) << "all gateways together are far inside the quota";
-    int passed = 0;
+    EXPECT_EQ(g.sends(light), 1) << "the demand of all gateways is far below the quota";
+    int admitted = 0;
     for (int i = 0; i < 100; ++i) {
         g.run_to(g.now + 50ms);
         const auto before = g.out.counted.size();
         const auto id = g.submit(1, "heavy", 50);
         for (std::size_t k = before; k < g.out.counted.size(); ++k) {
             const auto c =
-                g.out.counted[k];  // all gateways ask for 100 units a second, twenty times the rate
+                g.out.counted[k];  // the demand of all gateways is 100 units per second, 20 times the rate
             g.policy.on_counter_reply(g.now, c.name, CounterStatus::kOk, 200);
         }
         EXPECT_TRUE(g.sends(id) == 1 || !g.out.rejected.empty());
         if (g.sends(id) == 1) {
-            ++passed;
+            ++admitted;
             g.resolve(id, Outcome::kOk, 1ms);
         }
     }
-    EXPECT_GT(passed, 0);
-    EXPECT_LE(passed, 20) << "the quota's share in the demand, five in a hundred";
+    EXPECT_GT(admitted, 0);
+    EXPECT_LE(admitted, 20) << "the quota is five percent of the demand";
 }
 
-// Each of a hundred gateways meets the tenant now and then: none knows from its own requests what the others
-// have in flight.
+// Each of a hundred gateways gets few requests of the tenant, and can't know from them what the others have
+// in flight.
 TEST(SampledReads, ConcurrencyQuotaHoldsOverAHundredGateways) {
     Settings s = make_settings();
     s.gateways = 100;
@@ -109,10 +111,10 @@
     std::map<std::string, double> counter;
     std::mt19937_64 random(11);
     std::uniform_real_distribution<double> chance;
-    std::multimap<Timestamp, std::pair<Gateway*, RequestId>> out;  // by the end of the attempt
+    std::multimap<Timestamp, std::pair<Gateway*, RequestId>> out;  // by end of the attempt
     int sent = 0;
-    int beyond = 0;
-    int unadvised = 0;
+    int over_limit = 0;
+    int without_retry_after = 0;
     for (Timestamp now = 100s; now < 160s; now += 5ms) {
         while (!out.empty() && out.begin()->first <= now) {
             auto [g, id] = out.begin()->second;
@@ -120,7 +122,7 @@
             g->now = now;
             g->resolve_now(id, Outcome::kOk, 200ms);
         }
-        if (chance(random) > 0.05) continue;  // ten requests a second, of 0.2 s on average
+        if (chance(random) > 0.05) continue;  // ten requests per second, of 0.2 s on average
         Gateway& g = *fleet[random() % fleet.size()];
         g.now = now;
         const auto id = g.submit(1, "u", 100);
@@ -130,17 +132,17 @@
         }
         g.out.counted.clear();
         if (g.sends(id) == 0) {
-            unadvised += g.out.advised.back() <= Duration{0};
+            without_retry_after += g.out.advised.back() <= Duration{0};
             continue;
         }
         ++sent;
-        beyond += out.size() >= 2;
+        over_limit += out.size() >= 2;
         out.emplace(now + std::chrono::milliseconds(static_cast<int>(-std::log(1 - chance(random)) * 200)),
                     std::pair(&g, id));
     }
-    EXPECT_GT(sent, 150) << "of about 600 requests, 200 of which would come while two are in flight";
-    EXPECT_LT(beyond, sent * 0.2);
-    EXPECT_EQ(unadvised, 0) << "a rejection by a concurrency quota says when to retry";
+    EXPECT_GT(sent, 150) << "of about 600 requests, 200 of which would arrive while two are in flight";
+    EXPECT_LT(over_limit, sent * 0.2);
+    EXPECT_EQ(without_retry_after, 0) << "a rejection by a concurrency quota says when to retry";
 }
 
 TEST(SampledReads, ReportThatTheCounterRejectedIsNotWithdrawn) {
@@ -149,19 +151,20 @@
     s.plans[0].max_concurrent = 2;
     s.plans[0].rate = 0;
     Gateway g(s, many_endpoints(60));
-    // First the count says that there is no capacity, so that some requests are rejected; then the counter
-    // rejects calls.
+    // First the count shows no capacity, so that some requests are rejected; then the counter rejects every
+    // second call.
     for (int i = 0; i < 300; ++i) {
         g.run_to(g.now + 20ms);
         g.out.counted.clear();
         const auto id = g.submit(1, "u", 100);
         if (g.out.counted.empty()) continue;
         const std::string name = g.out.counted[0].name;
-        const bool away = i >= 20 && i % 2 == 0;
-        g.policy.on_counter_reply(g.now, name, away ? CounterStatus::kOverloaded : CounterStatus::kOk, 1e6);
-        // Reported, and withdrawn only where the report was added and the request rejected. Withdrawing more
-        // than was added would hide attempts in flight from the other gateways.
-        EXPECT_EQ(g.out.counted.size(), away ? 1U : 2U);
+        const bool is_rejected = i >= 20 && i % 2 == 0;
+        g.policy.on_counter_reply(g.now, name, is_rejected ? CounterStatus::kOverloaded : CounterStatus::kOk,
+                                  1e6);
+        // The report is withdrawn only if it was added and the request was rejected. Withdrawing more than
+        // was added would hide attempts in flight from the other gateways.
+        EXPECT_EQ(g.out.counted.size(), is_rejected ? 1U : 2U);
         if (g.out.counted.size() == 2) g.policy.on_counter_reply(g.now, name, CounterStatus::kOk, 1e6);
         if (g.sends(id) == 1) g.resolve(id, Outcome::kOk, 1ms);
     }
@@ -186,47 +189,47 @@
     }
     EXPECT_EQ(answered, 30) << "unknown tenants are admitted";
     EXPECT_LE(g.out.counted.size(), 20U) << "and an unreachable counter gets few calls";
-    const auto brief = g.submit(1, "v", 50, 0, 60ms);
-    EXPECT_EQ(g.sends(brief), 1) << "it does not wait where the reply might come too late";
+    const auto short_deadline = g.submit(1, "v", 50, 0, 60ms);
+    EXPECT_EQ(g.sends(short_deadline), 1) << "it does not wait, since the reply might come too late";
 }
 
 TEST(OutlierDetector, FailureDomainIsAvoidedAsAWhole) {
-    // Incident ifbbcc9: all endpoints of one kind leave a class unanswered. A gateway sends to each endpoint
-    // too seldom to learn it of each.
+    // All endpoints of one kind do not answer a class (incident ifbbcc9). A gateway sends too few attempts to
+    // each endpoint to detect this separately for each.
     Settings s = make_settings(Idempotency::kNonIdempotent);
     s.gateways = 4;
-    auto servers = many_endpoints(200);
+    auto endpoints = many_endpoints(200);
     std::set<EndpointId> failing;
-    for (std::size_t i = 0; i < servers.size(); i += 2) {
-        servers[i].kind = "other";
-        failing.insert(servers[i].id);
+    for (std::size_t i = 0; i < endpoints.size(); i += 2) {
+        endpoints[i].kind = "other";
+        failing.insert(endpoints[i].id);
     }
-    Gateway g(s, servers);
-    int late_to_failing = 0;
+    Gateway g(s, endpoints);
+    int recent_to_failing = 0;
     for (int i = 0; i < 90; ++i) {
         const auto id = g.submit();
         ASSERT_EQ(g.sends(id), 1);
         const bool fails = failing.count(g.out.sent.back().endpoint) > 0;
-        if (i >= 60 && fails) ++late_to_failing;
+        if (i >= 60 && fails) ++recent_to_failing;
         g.resolve(id, fails ? Outcome::kTimeout : Outcome::kOk, fails ? 990ms : 20ms);
     }
-    EXPECT_LE(late_to_failing, 8) << "of thirty, where half of the endpoints fail";
+    EXPECT_LE(recent_to_failing, 8) << "of thirty attempts, while half of the endpoints fail";
     g.now += 60s;
-    int again = 0;
+    int to_failing_later = 0;
     for (int i = 0; i < 30; ++i) {
         const auto id = g.submit();
-        again += failing.count(g.out.sent.back().endpoint) > 0 ? 1 : 0;
+        to_failing_later += failing.count(g.out.sent.back().endpoint) > 0 ? 1 : 0;
         g.resolve(id, Outcome::kOk, 20ms);
     }
-    EXPECT_GE(again, 8) << "forgotten in time";
+    EXPECT_GE(to_failing_later, 8) << "failures are forgotten after some time";
 }
 
-TEST(RetryBudget, ManyGatewaysTogetherRetryLittleAtTheStart) {
-    // A budget of ten tokens at each of hundreds of gateways is thousands of retries at once when endpoints
-    // fail together.
+TEST(RetryBudget, ManyGatewaysTogetherRetryFewRequestsAtTheStart) {
+    // With ten tokens at each of hundreds of gateways, thousands of retries would be sent at once when
+    // endpoints fail together.
     Settings s = make_settings(Idempotency::kIdempotent);
     s.gateways = 300;
-    int further = 0;
+    int retries = 0;
     for (int gateway = 0; gateway < 300; ++gateway) {
         s.self = gateway;
         Gateway g(s, many_endpoints(300), 100s, static_cast<std::uint64_t>(gateway));
@@ -234,19 +237,19 @@
             const auto id = g.submit();
             if (g.sends(id) == 1) g.resolve(id, Outcome::kError, 5ms);
             if (g.sends(id) == 2) {
-                ++further;
+                ++retries;
                 g.resolve(id, Outcome::kOk, 5ms);
             }
         }
     }
-    EXPECT_GE(further, 150);
-    EXPECT_LE(further, 600) << "about one at each, not five";
+    EXPECT_GE(retries, 150);
+    EXPECT_LE(retries, 600) << "about one at each, not five";
 }
 
-TEST(ConcurrencyLimiter, OverloadedEndpointsAreLeftToRecover) {
-    // Incidents i40db91 and i56a7ff: endpoints full of requests that have timed out answer nothing in time,
-    // and a gateway that keeps its least limit in flight keeps them full.
-    const auto sent_of_hundred = [](bool answers) {
+TEST(ConcurrencyLimiter, OverloadedEndpointsGetFewAttemptsAndCanRecover) {
+    // Endpoints full of requests that have timed out answer nothing in time. If gateways keep even their
+    // minimum limits in flight, the endpoints stay full (incidents i40db91 and i56a7ff).
+    const auto sent_of_100 = [](bool answers) {
         Settings s = make_settings(Idempotency::kNonIdempotent);
         s.gateways = 50;
         Gateway g(s, many_endpoints(60));
@@ -264,10 +267,10 @@
         }
         return g.out.sent.size() - before;
     };
-    EXPECT_GE(sent_of_hundred(true), 90U);
-    // Half of this, since an attempt that timed out occupies its endpoint for as long again.
-    EXPECT_LE(sent_of_hundred(false), 18U);
-    EXPECT_GE(sent_of_hundred(false), 1U) << "the trial by which the recovery is seen";
+    EXPECT_GE(sent_of_100(true), 90U);
+    // An attempt that timed out occupies its endpoint for as long again, which halves the attempts sent.
+    EXPECT_LE(sent_of_100(false), 18U);
+    EXPECT_GE(sent_of_100(false), 1U) << "trial attempts are needed to detect the recovery";
 }
 
 Settings probing_settings() {
@@ -278,8 +281,8 @@
 }
 
 TEST(ProbePool, OverloadedEndpointsGetAlmostNothing) {
-    // Issue 11: forty of eighty endpoints are full of requests that have timed out. Each of hundreds of
-    // gateways sends to them too seldom to know; only probes tell, and the trials of all gateways together
+    // Half of the endpoints are full of requests that have timed out (issue 11). Each of hundreds of gateways
+    // sends too few attempts to detect them without probes, and the trial attempts of all gateways together
     // would keep them full.
     const auto is_overloaded = [](const EndpointId& id) { return std::hash<std::string>()(id) % 2 == 0; };
     Gateway g(probing_settings(), many_endpoints(80));
@@ -288,9 +291,9 @@
     for (int i = 0; i < 1000; ++i) {
         const auto id = g.submit();
         g.now += 200ms;
-        for (const auto& server : std::exchange(g.out.probed, {})) {
-            g.policy.on_probe_result(g.now, server, is_overloaded(server) ? Outcome::kTimeout : Outcome::kOk,
-                                     {});
+        for (const auto& endpoint : std::exchange(g.out.probed, {})) {
+            g.policy.on_probe_result(g.now, endpoint,
+                                     is_overloaded(endpoint) ? Outcome::kTimeout : Outcome::kOk, {});
         }
         if (g.sends(id) == 0) continue;
         const bool overloaded = is_overloaded(g.out.sent.back().endpoint);
@@ -305,7 +308,7 @@
 
 TEST(ProbePool, NoProbesWhereTheyAreNotAllowedOrNotNeeded) {
     Settings s = probing_settings();
-    const auto probes_of_hundred = [](const Settings& settings) {
+    const auto probes_of_100 = [](const Settings& settings) {
         Gateway g(settings, many_endpoints(20));
         for (int i = 0; i < 100; ++i) {
             const auto id = g.submit();
@@ -313,17 +316,17 @@
         }
         return g.out.probed.size();
     };
-    EXPECT_GT(probes_of_hundred(s), 5U);
+    EXPECT_GT(probes_of_100(s), 5U);
     s.may_probe = false;
-    EXPECT_EQ(probes_of_hundred(s), 0U);
+    EXPECT_EQ(probes_of_100(s), 0U);
     s = probing_settings();
-    s.gateways = 2;  // its own attempts tell enough
-    EXPECT_EQ(probes_of_hundred(s), 0U);
+    s.gateways = 2;  // its own attempts show enough
+    EXPECT_EQ(probes_of_100(s), 0U);
 }
 
-TEST(ConcurrencyLimiter, LeastValueForItsTimeIsRejectedFirst) {
-    // Issue 11: under overload all classes were rejected alike, and the one of the least weight occupied the
-    // endpoints longest.
+TEST(ConcurrencyLimiter, LeastValuePerEndpointTimeIsRejectedFirst) {
+    // Guards against rejecting all classes alike under overload, while the class with the least weight
+    // occupies the endpoints longest (issue 11).
     Settings s = make_settings(Idempotency::kNonIdempotent);
     s.classes.push_back(s.classes[0]);
     s.classes[1].priority_weight = 3;
@@ -351,25 +354,25 @@
     EXPECT_GE(sent[1], 2 * sent[0]);
 }
 
-TEST(RetryAfter, IsAdvisedUnderOverloadAndSpread) {
+TEST(RetryAfter, IsSetUnderOverloadAndRandomised) {
     Settings s = make_settings(Idempotency::kNonIdempotent);
     s.gateways = 50;
     s.retry_after = true;
     s.max_retry_after = 2s;
-    const auto advice_of = [](const Settings& settings, int requests) {
+    const auto delays_of = [](const Settings& settings, int requests) {
         Gateway g(settings, many_endpoints(20));
         for (int i = 0; i < requests; ++i) g.submit();
         return g.out.advised;
     };
-    const auto advice = advice_of(s, 200);  // nothing is answered: far more is asked for than the limit
-    ASSERT_FALSE(advice.empty());
-    EXPECT_EQ(advice.front(), 0ns) << "there may be capacity at once";
-    std::set<Duration> late(advice.end() - 50, advice.end());
-    EXPECT_GE(late.size(), 40U) << "spread, so that the clients do not retry at one instant";
-    EXPECT_GE(*late.begin(), 1s);
-    EXPECT_LE(*late.rbegin(), 2s);
+    const auto delays = delays_of(s, 200);  // nothing is answered, so the demand far exceeds the limit
+    ASSERT_FALSE(delays.empty());
+    EXPECT_EQ(delays.front(), 0ns) << "there may be capacity at once";
+    std::set<Duration> last_delays(delays.end() - 50, delays.end());
+    EXPECT_GE(last_delays.size(), 40U) << "randomised, so that the clients do not retry at the same time";
+    EXPECT_GE(*last_delays.begin(), 1s);
+    EXPECT_LE(*last_delays.rbegin(), 2s);
     s.retry_after = false;
-    for (const Duration wait : advice_of(s, 200)) EXPECT_EQ(wait, 0ns);
+    for (const Duration wait : delays_of(s, 200)) EXPECT_EQ(wait, 0ns);
 }
 
 }  // namespace
--- a/tests/policy_quota_test.cpp
+++ b/tests/policy_quota_test.cpp
@@ -1,4 +1,4 @@
-// Quotas at one gateway: token bucket, hard cap, concurrent attempts, the form of a count.
+// Tests of quotas at one gateway: token bucket, hard cap, concurrent attempts, encoding of demand counts.
 #include <cmath>
 #include <functional>
 #include <vector>
@@ -9,39 +9,39 @@
 namespace linnetlead::policy::testing {
 namespace {
 
-// Attempts of the process before count against the limit here until they have probably ended. Otherwise each
-// hot restart would double what a tenant has in flight.
-TEST(ConcurrencyQuota, HoldsOverAHotRestart) {
+// Attempts of the previous process count against the limit until they have probably ended. Otherwise each hot
+// restart would double a tenant's attempts in flight.
+TEST(ConcurrencyQuota, HoldsAcrossAHotRestart) {
     Settings s = make_settings();
     s.plans[0].rate = 0;
     s.plans[0].max_concurrent = 2;
-    Gateway old(s), next(s);
-    old.submit();
-    old.submit();
-    const auto accounts = old.policy.quota_states();
-    ASSERT_EQ(accounts.size(), 1U);
-    EXPECT_EQ(accounts[0].attempts_in_flight, 2);
-    next.policy.restore_quota(next.now, accounts[0]);
-    EXPECT_EQ(next.sends(next.submit()), 0) << "the limit is reached";
-    next.run_to(next.now + 1s);
-    EXPECT_EQ(next.sends(next.submit()), 1);
-    EXPECT_EQ(next.sends(next.submit()), 1);
-    EXPECT_EQ(next.sends(next.submit()), 0);
+    Gateway old_process(s), new_process(s);
+    old_process.submit();
+    old_process.submit();
+    const auto states = old_process.policy.quota_states();
+    ASSERT_EQ(states.size(), 1U);
+    EXPECT_EQ(states[0].attempts_in_flight, 2);
+    new_process.policy.restore_quota(new_process.now, states[0]);
+    EXPECT_EQ(new_process.sends(new_process.submit()), 0) << "the limit is reached";
+    new_process.run_to(new_process.now + 1s);
+    EXPECT_EQ(new_process.sends(new_process.submit()), 1);
+    EXPECT_EQ(new_process.sends(new_process.submit()), 1);
+    EXPECT_EQ(new_process.sends(new_process.submit()), 0);
 }
 
 TEST(HardCap, EvenPartsHoldOverAllGatewaysAndRestarts) {
     Settings s = make_settings();
     s.plans[0].hard_cap_rate = 20;
     s.plans[0].hard_cap_burst = 40;
-    double passed = 0;
-    for (int life = 0; life < 2; ++life) {
+    double admitted = 0;
+    for (int run = 0; run < 2; ++run) {
         for (int gateway = 0; gateway < 2; ++gateway) {
             s.self = gateway;
-            Gateway g(s, {make_endpoint("a"), make_endpoint("b")}, 100s + life * 1s);
+            Gateway g(s, {make_endpoint("a"), make_endpoint("b")}, 100s + run * 1s);
             for (int i = 0; i < 200; ++i) {
                 const auto id = g.submit(1, "u", 2);
                 if (g.sends(id) == 1) {
-                    passed += 1;
+                    admitted += 1;
                     g.resolve(id, Outcome::kOk, 5ms);
                 } else {
                     g.now += 5ms;
@@ -49,8 +49,8 @@
             }
         }
     }
-    EXPECT_GT(passed, 20);
-    EXPECT_LE(passed, 40 + 2 * 20);  // the burst and two seconds' refill
+    EXPECT_GT(admitted, 20);
+    EXPECT_LE(admitted, 40 + 2 * 20);  // the burst and two seconds' refill
 }
 
 TEST(ConcurrencyQuota, HoldsWithinOneGateway) {
@@ -68,51 +68,51 @@
     EXPECT_EQ(g.out.sent.size(), 3U);
 }
 
-TEST(DemandCount, HoldsDemandUseAndBucketInOneNumber) {
+TEST(DemandCount, EncodesDemandUseAndBucketDeficitInOneNumber) {
     const DemandCount count(20);
     const double a = count.encode(4, 3, -1), b = count.encode(10, 6, -1);
-    EXPECT_FALSE(DemandCount::states_bucket(a + b));
+    EXPECT_FALSE(DemandCount::includes_bucket_deficit(a + b));
     EXPECT_NEAR(count.others_spent(a + b, a), 6, 0.02);
     EXPECT_NEAR(count.others_demand(a + b, a), 10, 0.2);
     EXPECT_TRUE(DemandCount::is_at_most(a, a));
     EXPECT_FALSE(DemandCount::is_at_most(a + b, a));
-    const double first = count.encode(4, 3, 7);  // and it states that the bucket lacked 7
-    EXPECT_TRUE(DemandCount::states_bucket(first + b));
+    const double first = count.encode(4, 3, 7);  // includes a bucket deficit of 7
+    EXPECT_TRUE(DemandCount::includes_bucket_deficit(first + b));
     EXPECT_NEAR(count.bucket_deficit(first + b), 7 + 3 + 6, 0.03);
     EXPECT_NEAR(count.others_demand(first + b, first), 10, 0.2);
     for (const double spent : {-5.0, 0.0, 19.99, 1e9}) {
         const double number = count.encode(4, spent, 20);
         EXPECT_LT(number - std::floor(number), 1.0);
-        EXPECT_EQ(std::floor(number), 20) << "the part behind the point never carries over";
+        EXPECT_EQ(std::floor(number), 20) << "the fraction never carries into the integer part";
     }
 }
 
 TEST(TokenBucket, ActualUnitsReplaceTheAnnouncedOnes) {
     Settings s = quota_settings();
-    Gateway dear(s);
+    Gateway expensive(s);
     Gateway cheap(s);
-    int passed_dear = 0;
-    int passed_cheap = 0;
+    int admitted_expensive = 0;
+    int admitted_cheap = 0;
     for (int i = 0; i < 200; ++i) {
-        for (Gateway* g : {&dear, &cheap}) {
+        for (Gateway* g : {&expensive, &cheap}) {
             const auto id = g->submit();
             if (g->sends(id) == 1) {
-                (g == &dear ? passed_dear : passed_cheap) += 1;
-                g->resolve(id, Outcome::kOk, 5ms, g == &dear ? 4 : 1);
+                (g == &expensive ? admitted_expensive : admitted_cheap) += 1;
+                g->resolve(id, Outcome::kOk, 5ms, g == &expensive ? 4 : 1);
             } else {
                 g->now += 5ms;
             }
             g->run_to(g->now + 15ms);
         }
     }
-    EXPECT_LT(passed_dear * 2, passed_cheap);
+    EXPECT_LT(admitted_expensive * 2, admitted_cheap);
 }
 
-// What is admitted of so many units at one instant, by a gateway whose tenant it is alone.
-int passes_now(Gateway& g, int calls) {
-    int passed = 0;
-    for (int i = 0; i < calls; ++i) passed += g.sends(g.submit()) > 0 ? 1 : 0;
-    return passed;
+// Number of requests admitted, of this many offered at one instant. No other gateway serves the tenant.
+int admitted_now(Gateway& g, int requests) {
+    int admitted = 0;
+    for (int i = 0; i < requests; ++i) admitted += g.sends(g.submit()) > 0 ? 1 : 0;
+    return admitted;
 }
 
 TEST(TokenBucket, UnitsThatNoEndpointUsedAreReturned) {
@@ -124,7 +124,7 @@
         const auto id = g.submit();
         EXPECT_EQ(g.sends(id), 1);
         act(g, id);
-        return passes_now(g, 15);
+        return admitted_now(g, 15);
     };
     const auto withdrawn = [](Outcome outcome) {
         return [outcome](Gateway& g, RequestId id) {
@@ -137,8 +137,7 @@
             while (g.out.rejected.empty() && g.out.failed.empty()) g.resolve(id, outcome);
         };
     };
-    EXPECT_EQ(left_after(withdrawn(Outcome::kNotSent)), 10)
-        << "it was never sent: all of the bucket is there";
+    EXPECT_EQ(left_after(withdrawn(Outcome::kNotSent)), 10) << "it was never sent, so the bucket is full";
     EXPECT_EQ(left_after(withdrawn(Outcome::kConnectFailed)), 10);
     EXPECT_EQ(left_after(withdrawn(Outcome::kCancelled)), 9) << "it may have run";
     EXPECT_EQ(left_after(withdrawn(Outcome::kTimeout)), 9);
@@ -166,10 +165,10 @@
     std::vector<std::vector<EndpointId>> runs;
     for (int run = 0; run < 2; ++run) {
         Gateway g(quota_settings());
-        offer(g, 3s);
-        std::vector<EndpointId> servers;
-        for (const auto& s : g.out.sent) servers.push_back(s.endpoint);
-        runs.push_back(servers);
+        offer_load(g, 3s);
+        std::vector<EndpointId> endpoints;
+        for (const auto& s : g.out.sent) endpoints.push_back(s.endpoint);
+        runs.push_back(endpoints);
     }
     EXPECT_EQ(runs[0], runs[1]);
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter on transcripts of our own: what it prints, and what it says of bad input.
+// Tests of the simulator adapter with written transcripts: its output, and its errors for malformed input.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -19,7 +19,7 @@
     "quantum=2000000 "
     "someday.unknown=1";
 
-std::string start() {
+std::string boot_messages() {
     return std::string("TURN 1000 1\nBOOT 4 99 ") + kSettings +
            "\nCATALOG 3 2\nROW - 0 north std 1 IN 10.0.0.1:1\nROW 500 1 north std 1.5 LAME 10.0.0.2:1\n"
            "VIEW 4 C 7 3\nYOUR_TURN\n";
@@ -30,7 +30,7 @@
     std::string out;
     std::string err;
 };
-Result play(const std::string& text) {
+Result run_adapter(const std::string& text) {
     std::istringstream in(text);
     std::ostringstream out;
     std::ostringstream err;
@@ -38,45 +38,46 @@
     return {code, out.str(), err.str()};
 }
 
-TEST(Wire, EmptyBatchAndEndOfInput) {
-    const auto r = play("TURN 8412250000 1\nYOUR_TURN\n");
+TEST(Wire, AcceptsEmptyBatchAndEndOfInput) {
+    const auto r = run_adapter("TURN 8412250000 1\nYOUR_TURN\n");
     EXPECT_EQ(r.code, 0);
     EXPECT_EQ(r.out, "DONE 1\n");
-    EXPECT_EQ(play("").code, 0);
+    EXPECT_EQ(run_adapter("").code, 0);
 }
 
 TEST(Wire, RequestIsRelayedAndFailsWithItsAttempt) {
-    const auto r = play(
-        start() +
+    const auto r = run_adapter(
+        boot_messages() +
         "TURN 2000000 2\nSUBMIT 4 00c40fd25d3a91c4 ask gold u:1 1002000000 2 1 0 1\nYOUR_TURN\n"
         "TURN 9000000 3\nRESOLVED 4 00c40fd25d3a91c4 0 10.0.0.1:1 0 - 0 reset 7000000 140,x\nYOUR_TURN\n");
-    EXPECT_EQ(r.code, 2) << "a load report that is no number";
+    EXPECT_EQ(r.code, 2) << "the load report contains a value that is not a number";
     const auto good =
-        play(start() +
-             "TURN 2000000 2\nSUBMIT 4 00c40fd25d3a91c4 ask gold u:1 1002000000 2 1 0 1\nYOUR_TURN\n"
-             "TURN 9000000 3\nRESOLVED 4 00c40fd25d3a91c4 - 10.0.0.1:1 0 - 0 reset 7000000 140,1,9\n"
-             "YOUR_TURN\n");
+        run_adapter(boot_messages() +
+                    "TURN 2000000 2\nSUBMIT 4 00c40fd25d3a91c4 ask gold u:1 1002000000 2 1 0 1\nYOUR_TURN\n"
+                    "TURN 9000000 3\nRESOLVED 4 00c40fd25d3a91c4 - 10.0.0.1:1 0 - 0 reset 7000000 140,1,9\n"
+                    "YOUR_TURN\n");
     EXPECT_EQ(good.code, 0) << good.err;
     EXPECT_NE(good.out.find("RELAY 4 00c40fd25d3a91c4 10.0.0.1:1 1000000000\n"), std::string::npos)
         << good.out;
     EXPECT_NE(good.out.find("\nGIVE_UP 4 00c40fd25d3a91c4\n"), std::string::npos) << good.out;
 }
 
-TEST(Wire, StoppedInstanceIsPassedOver) {
-    const auto r = play(start() +
-                        "TURN 2000000 2\nSTOP 4\nSUBMIT 4 00c40fd25d3a91c4 ask gold u:1 1002000000 2 1 0 1\n"
-                        "WAKEUP 4 wake\nWITHDRAWN 4 00c40fd25d3a91c4\nYOUR_TURN\n");
+TEST(Wire, StoppedInstanceIgnoresMessages) {
+    const auto r =
+        run_adapter(boot_messages() +
+                    "TURN 2000000 2\nSTOP 4\nSUBMIT 4 00c40fd25d3a91c4 ask gold u:1 1002000000 2 1 0 1\n"
+                    "WAKEUP 4 wake\nWITHDRAWN 4 00c40fd25d3a91c4\nYOUR_TURN\n");
     EXPECT_EQ(r.code, 0) << r.err;
     EXPECT_EQ(r.out.find("RELAY"), std::string::npos);
 }
 
-TEST(Wire, ModuleExceptionBecomesGiveIn) {
-    const auto r = play("TURN 1 1\nBOOT 4 99 balancers=2 me=5 classes.count=0\nYOUR_TURN\n");
+TEST(Wire, PolicyExceptionIsReportedAsGiveIn) {
+    const auto r = run_adapter("TURN 1 1\nBOOT 4 99 balancers=2 me=5 classes.count=0\nYOUR_TURN\n");
     EXPECT_EQ(r.code, 0);
-    EXPECT_NE(r.out.find("GIVE_IN 4 unusable setting: classes"), std::string::npos) << r.out;
+    EXPECT_NE(r.out.find("GIVE_IN 4 invalid setting: classes"), std::string::npos) << r.out;
 }
 
-// A word that stands for two terms, or a term with two words, would be read as something else than was
+// A word that maps to two values, or a value with two words, would be read back as something else than was
 // written.
 template <typename Term, std::size_t Count>
 void expect_one_word_for_each_term(const std::array<config::Word<Term>, Count>& words) {
@@ -108,7 +109,7 @@
 };
 class BadInput : public ::testing::TestWithParam<BadLine> {};
 TEST_P(BadInput, NamesLineMessageAndField) {
-    const auto r = play(start() + "TURN 2000000 2\n" + GetParam().line + "\nYOUR_TURN\n");
+    const auto r = run_adapter(boot_messages() + "TURN 2000000 2\n" + GetParam().line + "\nYOUR_TURN\n");
     EXPECT_EQ(r.code, 2);
     EXPECT_NE(r.err.find("line 9"), std::string::npos) << r.err;
     EXPECT_NE(r.err.find(GetParam().message), std::string::npos) << r.err;
