--- a/src/simulator_adapter/gateway_instance.h
+++ b/src/simulator_adapter/gateway_instance.h
@@ -1,4 +1,4 @@
-// One gateway of the simulation: a Policy, and its actions written as the simulator's messages.
+// One simulated gateway: owns a Policy, and writes its actions as messages to the simulator.
 #pragma once
 
 #include <cstdint>
@@ -30,8 +30,8 @@
     void watch_endpoints() override;
     void log(const std::string& text) override;
 
-    // Hands an event to the policy while the instance runs. An exception from the policy ends the
-    // simulation's day with its text; the instance takes no further events.
+    // Calls `event`, which passes an event to the policy, if the instance is running. An exception from the
+    // policy is reported to the simulator and stops the instance.
     template <typename Event>
     void handle(Event&& event) {
         if (!running) return;
@@ -47,13 +47,13 @@
 
     bool running = false;
     std::unique_ptr<policy::Policy> policy;
-    std::unordered_map<std::string, int> traffic_classes;  // positions, by name
-    std::unordered_map<std::string, int> plans;            // positions, by name
-    std::vector<std::string> report_fields;                // names, in the order of a load report
+    std::unordered_map<std::string, int> traffic_classes;  // index by name
+    std::unordered_map<std::string, int> plans;            // index by name
+    std::vector<std::string> report_fields;  // names, in the order of the values of a load report
 
 private:
     void report_failure(const std::string& what);
-    void write(ReplyKind kind, const std::string& values);
+    void write_reply(ReplyKind kind, const std::string& values);
 
     std::string number_;
     std::string& reply_;
--- a/src/simulator_adapter/message_fields.cpp
+++ b/src/simulator_adapter/message_fields.cpp
@@ -7,15 +7,15 @@
 
 namespace linnetlead::simulator_adapter {
 
-void MessageFields::complain(std::string_view field, const std::string& what) const {
+void MessageFields::throw_error(std::string_view field, const std::string& what) const {
     throw WireError("line " + std::to_string(line_number_) + ": " + std::string(name_) + ": field " +
                     std::string(field) + ": " + what);
 }
 
 std::string_view MessageFields::text(std::string_view field) {
-    if (at_end_) complain(field, "missing");
-    const auto part = cut();
-    if (part.empty()) complain(field, "empty");
+    if (at_end_) throw_error(field, "missing");
+    const auto part = take_field();
+    if (part.empty()) throw_error(field, "empty");
     return part;
 }
 
@@ -23,27 +23,27 @@
     return policy::Timestamp{number<std::int64_t>(field, 0, std::numeric_limits<std::int64_t>::max())};
 }
 
-policy::RequestId MessageFields::request(std::string_view field) {
+policy::RequestId MessageFields::request_id(std::string_view field) {
     constexpr std::size_t kDigits = 16;
     constexpr int kBase = 16;
     const auto part = text(field);
     const auto value = part.size() == kDigits ? config::parse<policy::RequestId>(part, kBase) : std::nullopt;
-    if (!value) complain(field, "not 16 hex digits");
+    if (!value) throw_error(field, "expected 16 hexadecimal digits");
     return *value;
 }
 
-policy::LoadReport MessageFields::report(std::string_view field, const std::vector<std::string>& names) {
+policy::LoadReport MessageFields::load_report(std::string_view field, const std::vector<std::string>& names) {
     policy::LoadReport report;
     if (at_end_) return report;
-    auto row = text(field);
-    if (row == "-") return report;
-    for (std::size_t i = 0; !row.empty() || i == 0; ++i) {
-        const auto end = std::min(row.find(','), row.size());
-        const auto part = row.substr(0, end);
-        row.remove_prefix(std::min(end + 1, row.size()));
+    auto values = text(field);
+    if (values == "-") return report;
+    for (std::size_t i = 0; !values.empty() || i == 0; ++i) {
+        const auto end = std::min(values.find(','), values.size());
+        const auto part = values.substr(0, end);
+        values.remove_prefix(std::min(end + 1, values.size()));
         if (part == "-" || part.empty()) continue;
         const auto value = config::parse<double>(part);
-        if (!value) complain(field, "not a number: '" + std::string(part) + "'");
+        if (!value) throw_error(field, "not a number: '" + std::string(part) + "'");
         if (i >= names.size()) continue;
         config::set_report_field(report, names[i], *value);
     }
@@ -57,13 +57,13 @@
     return all;
 }
 
-void MessageFields::end() const {
+void MessageFields::expect_end() const {
     if (at_end_) return;
     throw WireError("line " + std::to_string(line_number_) + ": " + std::string(name_) + ": extra field '" +
                     std::string(rest_) + "'");
 }
 
-std::string_view MessageFields::cut() {
+std::string_view MessageFields::take_field() {
     const auto at = rest_.find(' ');
     const auto part = rest_.substr(0, at);
     at_end_ = at == std::string_view::npos;
--- a/src/simulator_adapter/message_fields.h
+++ b/src/simulator_adapter/message_fields.h
@@ -1,4 +1,4 @@
-// The fields of one line from the simulator.
+// Parser for the fields of one line from the simulator. Used by SimulatorLink.
 #pragma once
 
 #include <array>
@@ -13,59 +13,59 @@
 
 namespace linnetlead::simulator_adapter {
 
-// Malformed input: says the line number, the message and the field.
+// Malformed input. The text names the line number, the message and the field.
 class WireError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
 
-// Takes the fields of a line in turn. Every complaint names the line, the message and the field, by the
-// simulator's names. All functions that take a field throw WireError where it is missing or malformed.
+// Reads the fields of a line in order. All functions that read a field throw WireError if it is missing or
+// malformed. The `field` parameters are the simulator's names, for error messages.
 class MessageFields {
 public:
     MessageFields(std::string_view line, std::uint64_t line_number) : rest_(line), line_number_(line_number) {
-        name_ = cut();
+        name_ = take_field();
     }
 
     std::string_view name() const { return name_; }
     bool at_end() const { return at_end_; }
-    [[noreturn]] void complain(std::string_view field, const std::string& what) const;
+    [[noreturn]] void throw_error(std::string_view field, const std::string& what) const;
 
     std::string_view text(std::string_view field);
     template <typename Number>
-    Number number(std::string_view field, Number least, Number most) {
-        return checked<Number>(field, text(field), least, most);
+    Number number(std::string_view field, Number min, Number max) {
+        return checked<Number>(field, text(field), min, max);
     }
-    // '-' stands for an absent value.
+    // Returns `absent` for '-'.
     template <typename Number>
-    Number number_or(std::string_view field, Number least, Number most, Number absent) {
+    Number number_or(std::string_view field, Number min, Number max, Number absent) {
         const auto part = text(field);
-        return part == "-" ? absent : checked<Number>(field, part, least, most);
+        return part == "-" ? absent : checked<Number>(field, part, min, max);
     }
     policy::Timestamp time(std::string_view field);
     bool flag(std::string_view field) { return number<int>(field, 0, 1) == 1; }
-    policy::RequestId request(std::string_view field);
+    policy::RequestId request_id(std::string_view field);
     template <typename Value, std::size_t Count>
-    Value word(std::string_view field, const std::array<config::Word<Value>, Count>& words) {
+    Value enum_value(std::string_view field, const std::array<config::Word<Value>, Count>& words) {
         const auto part = text(field);
         const auto value = config::look_up(words, part);
-        if (!value) complain(field, "unknown value '" + std::string(part) + "'");
+        if (!value) throw_error(field, "unknown value '" + std::string(part) + "'");
         return *value;
     }
-    // The last field of its message, and an optional one: values in the order of `names`, by commas.
-    policy::LoadReport report(std::string_view field, const std::vector<std::string>& names);
-    // All that follows, taken as it is.
+    // An optional last field: comma-separated values in the order of `names`.
+    policy::LoadReport load_report(std::string_view field, const std::vector<std::string>& names);
+    // Returns the unparsed rest of the line.
     std::string_view remainder();
-    // Complains of a field that is left.
-    void end() const;
+    // Throws WireError if there are more fields.
+    void expect_end() const;
 
 private:
-    std::string_view cut();
+    std::string_view take_field();
     template <typename Number>
-    Number checked(std::string_view field, std::string_view part, Number least, Number most) const {
+    Number checked(std::string_view field, std::string_view part, Number min, Number max) const {
         const auto value = config::parse<Number>(part);
-        if (!value) complain(field, "not a number or out of range: '" + std::string(part) + "'");
-        if (*value < least || *value > most) complain(field, "out of range: '" + std::string(part) + "'");
+        if (!value) throw_error(field, "not a number or out of range: '" + std::string(part) + "'");
+        if (*value < min || *value > max) throw_error(field, "out of range: '" + std::string(part) + "'");
         return *value;
     }
 
--- a/src/simulator_adapter/simulator_link.cpp
+++ b/src/simulator_adapter/simulator_link.cpp
@@ -19,12 +19,12 @@
 
 constexpr std::int64_t kMaxInteger = std::numeric_limits<std::int64_t>::max();
 constexpr std::int64_t kMaxGatewayNumber = std::numeric_limits<std::int32_t>::max();
-constexpr int kMaxCount = 1 << 20;  // of gateways, attempts of a request and the like
+constexpr int kMaxCount = 1 << 20;  // upper bound of counts and small indexes
 constexpr std::int64_t kMaxRows = 1 << 24;
 constexpr int kLastPage = 15;
 constexpr double kMaxUnits = 1e9;
 constexpr double kMaxTotal = 1e300;
-constexpr int kClientRetryOption = 2;  // a bit of a request's options
+constexpr int kClientRetryOption = 2;  // bit in a request's options
 
 config::Pairs read_pairs(MessageFields& fields) {
     config::Pairs pairs;
@@ -35,7 +35,7 @@
         rest.remove_prefix(std::min(end + 1, rest.size()));
         const auto equals = pair.find('=');
         if (equals == std::string_view::npos || equals == 0) {
-            fields.complain("info", "not a pair: '" + std::string(pair) + "'");
+            fields.throw_error("info", "expected key=value: '" + std::string(pair) + "'");
         }
         pairs[std::string(pair.substr(0, equals))] = std::string(pair.substr(equals + 1));
     }
@@ -43,7 +43,7 @@
 }
 
 template <typename Named>
-std::unordered_map<std::string, int> positions(const std::vector<Named>& all) {
+std::unordered_map<std::string, int> index_by_name(const std::vector<Named>& all) {
     std::unordered_map<std::string, int> by_name;
     for (std::size_t i = 0; i < all.size(); ++i) by_name[all[i].name] = static_cast<int>(i);
     return by_name;
@@ -51,14 +51,14 @@
 
 }  // namespace
 
-GatewayInstance& Link::find(MessageFields& fields) {
+GatewayInstance& SimulatorLink::find_instance(MessageFields& fields) {
     const auto number = fields.number<std::int64_t>("who", 0, kMaxGatewayNumber);
     const auto it = instances_.find(number);
-    if (it == instances_.end()) fields.complain("who", "instance never booted");
+    if (it == instances_.end()) fields.throw_error("who", "no BOOT message for this instance");
     return *it->second;
 }
 
-void Link::start_gateway(MessageFields& fields) {
+void SimulatorLink::handle_start_gateway(MessageFields& fields) {
     const auto number = fields.number<std::int64_t>("who", 0, kMaxGatewayNumber);
     const auto seed = fields.number<std::uint64_t>("entropy", 0, std::numeric_limits<std::uint64_t>::max());
     const config::Pairs pairs = read_pairs(fields);
@@ -67,10 +67,10 @@
     try {
         site = config::read_site(pairs);
     } catch (const config::SettingsError& error) {
-        fields.complain("info", error.what());
+        fields.throw_error("info", error.what());
     }
-    instance->traffic_classes = positions(site.settings.classes);
-    instance->plans = positions(site.settings.plans);
+    instance->traffic_classes = index_by_name(site.settings.classes);
+    instance->plans = index_by_name(site.settings.plans);
     instance->report_fields = std::move(site.report_fields);
     instance->running = true;
     instance->handle([&] {
@@ -79,37 +79,37 @@
     instances_[number] = std::move(instance);
 }
 
-void Link::stop_gateway(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
-    fields.end();
+void SimulatorLink::handle_stop_gateway(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
+    fields.expect_end();
     instance.stop();
 }
 
-void Link::endpoint_page(MessageFields& fields) {
+void SimulatorLink::handle_endpoint_page(MessageFields& fields) {
     open_page_ = static_cast<std::size_t>(fields.number<int>("page", 0, kLastPage));
     rows_left_ = fields.number<std::int64_t>("nodes_list", 0, kMaxRows);
-    fields.end();
+    fields.expect_end();
     pages_[open_page_].clear();
-    page_given_[open_page_] = true;
+    page_received_[open_page_] = true;
 }
 
-void Link::endpoint_row(MessageFields& fields) {
+void SimulatorLink::handle_endpoint_row(MessageFields& fields) {
     EndpointInfo entry;
     entry.started = policy::Timestamp{fields.number_or<std::int64_t>("started_at", 0, kMaxInteger, 0)};
     entry.cell = fields.number_or<int>("group", -1, std::numeric_limits<int>::max(), 0);
     entry.zone = fields.text("site");
     entry.kind = fields.text("machine");
     entry.weight = fields.number_or<double>("units", 0, kMaxUnits, 1);
-    entry.state = fields.word("stage_state", kEndpointStates);
+    entry.state = fields.enum_value("stage_state", kEndpointStates);
     entry.id = fields.text("server");
-    fields.end();
+    fields.expect_end();
     pages_[open_page_].push_back(std::move(entry));
     --rows_left_;
 }
 
-void Link::endpoint_list(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
-    const auto kind = fields.word("mode", kEndpointListKinds);
+void SimulatorLink::handle_endpoint_list(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
+    const auto kind = fields.enum_value("mode", kEndpointListKinds);
     fields.text("version");
     static const std::vector<EndpointInfo> kNone;
     const std::vector<EndpointInfo>* entries = &kNone;
@@ -117,17 +117,17 @@
         if (!fields.at_end()) fields.text("page");
     } else {
         const auto page = static_cast<std::size_t>(fields.number<int>("page", 0, kLastPage));
-        if (!page_given_[page]) fields.complain("page", "list never given");
+        if (!page_received_[page]) fields.throw_error("page", "no CATALOG message for this page");
         entries = &pages_[page];
     }
-    fields.end();
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_endpoint_list(now_, kind, *entries); });
 }
 
-void Link::request(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
+void SimulatorLink::handle_request(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
     policy::Request request;
-    request.id = fields.request("xid");
+    request.id = fields.request_id("xid");
     const std::string traffic_class(fields.text("category"));
     const std::string plan(fields.text("plan"));
     request.tenant = fields.text("member");
@@ -136,166 +136,166 @@
     request.gateway_set_size = fields.number<int>("set_size", 1, kMaxCount);
     request.gateway_set_start = fields.number<int>("set_start", 0, kMaxCount);
     request.is_client_retry = (fields.number_or<int>("options", 0, kMaxCount, 0) & kClientRetryOption) != 0;
-    fields.end();
+    fields.expect_end();
     if (!instance.running) return;
     const auto class_at = instance.traffic_classes.find(traffic_class);
     if (class_at == instance.traffic_classes.end()) {
-        fields.complain("category", "unknown class '" + traffic_class + "'");
+        fields.throw_error("category", "unknown class '" + traffic_class + "'");
     }
     const auto plan_at = instance.plans.find(plan);
-    if (plan_at == instance.plans.end()) fields.complain("plan", "unknown plan '" + plan + "'");
+    if (plan_at == instance.plans.end()) fields.throw_error("plan", "unknown plan '" + plan + "'");
     request.traffic_class = class_at->second;
     request.plan = plan_at->second;
     instance.handle([&] { instance.policy->on_request(now_, request); });
 }
 
-void Link::attempt_result(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
+void SimulatorLink::handle_attempt_result(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
     policy::AttemptResult result;
-    result.id = fields.request("xid");
+    result.id = fields.request_id("xid");
     result.actual_units = fields.number_or<double>("true_units", 0, kMaxUnits, 0);
     result.endpoint = fields.text("server");
     result.concluded = fields.flag("done_flag");
     fields.number_or<std::int64_t>("quota_use", 0, kMaxInteger, 0);
     result.attempt = fields.number<int>("copy", 0, kMaxCount);
-    result.outcome = fields.word("status", kOutcomes);
+    result.outcome = fields.enum_value("status", kOutcomes);
     result.latency = fields.time("lag");
-    result.report = fields.report("pressure", instance.report_fields);
-    fields.end();
+    result.report = fields.load_report("pressure", instance.report_fields);
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_result(now_, result); });
 }
 
-void Link::stream_started(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
-    const auto id = fields.request("xid");
+void SimulatorLink::handle_stream_started(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
+    const auto id = fields.request_id("xid");
     const auto attempt = fields.number<int>("copy", 0, kMaxCount);
     fields.text("server");
     fields.time("lag");
-    fields.end();
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_stream_started(now_, id, attempt); });
 }
 
-void Link::request_withdrawn(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
-    const auto id = fields.request("xid");
-    fields.end();
+void SimulatorLink::handle_request_withdrawn(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
+    const auto id = fields.request_id("xid");
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_withdrawn(now_, id); });
 }
 
-void Link::counter_reply(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
+void SimulatorLink::handle_counter_reply(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
     const std::string count(fields.text("tally_id"));
-    const auto status = fields.word("status", kCounterStatuses);
+    const auto status = fields.enum_value("status", kCounterStatuses);
     const auto total = fields.number_or<double>("sum", -kMaxTotal, kMaxTotal, 0);
     fields.time("lag");
-    fields.end();
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_counter_reply(now_, count, status, total); });
 }
 
-void Link::probe_result(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
+void SimulatorLink::handle_probe_result(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
     fields.time("lag");
     const std::string endpoint(fields.text("server"));
-    const auto outcome = fields.word("status", kOutcomes);
-    const auto report = fields.report("pressure", instance.report_fields);
-    fields.end();
+    const auto outcome = fields.enum_value("status", kOutcomes);
+    const auto report = fields.load_report("pressure", instance.report_fields);
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_probe_result(now_, endpoint, outcome, report); });
 }
 
-void Link::wake(MessageFields& fields) {
-    GatewayInstance& instance = find(fields);
+void SimulatorLink::handle_wake(MessageFields& fields) {
+    GatewayInstance& instance = find_instance(fields);
     fields.text("key_back");
-    fields.end();
+    fields.expect_end();
     instance.handle([&] { instance.policy->on_wake(now_); });
 }
 
-// Gateways of this program don't talk to each other over the simulator: read, and not used.
-void Link::peer_message(MessageFields& fields) {
-    find(fields);
+// Parsed and ignored: these gateways do not exchange messages over the simulator.
+void SimulatorLink::handle_peer_message(MessageFields& fields) {
+    find_instance(fields);
     fields.number<int>("from", 0, kMaxCount);
     fields.text("data");
-    fields.end();
+    fields.expect_end();
 }
 
-void Link::handle(MessageFields& fields) {
+void SimulatorLink::dispatch(MessageFields& fields) {
     const auto kind = config::look_up(kMessages, fields.name());
-    if (!kind) fields.complain("name", "unknown message");
+    if (!kind) fields.throw_error("name", "unknown message");
     switch (*kind) {
         case MessageKind::kRequest:
-            return request(fields);
+            return handle_request(fields);
         case MessageKind::kAttemptResult:
-            return attempt_result(fields);
+            return handle_attempt_result(fields);
         case MessageKind::kStartGateway:
-            return start_gateway(fields);
+            return handle_start_gateway(fields);
         case MessageKind::kStopGateway:
-            return stop_gateway(fields);
+            return handle_stop_gateway(fields);
         case MessageKind::kEndpointPage:
-            return endpoint_page(fields);
+            return handle_endpoint_page(fields);
         case MessageKind::kEndpointList:
-            return endpoint_list(fields);
+            return handle_endpoint_list(fields);
         case MessageKind::kStreamStarted:
-            return stream_started(fields);
+            return handle_stream_started(fields);
         case MessageKind::kRequestWithdrawn:
-            return request_withdrawn(fields);
+            return handle_request_withdrawn(fields);
         case MessageKind::kCounterReply:
-            return counter_reply(fields);
+            return handle_counter_reply(fields);
         case MessageKind::kProbeResult:
-            return probe_result(fields);
+            return handle_probe_result(fields);
         case MessageKind::kWake:
-            return wake(fields);
+            return handle_wake(fields);
         case MessageKind::kPeerMessage:
-            return peer_message(fields);
+            return handle_peer_message(fields);
         case MessageKind::kBeginBatch:
         case MessageKind::kEndBatch:
-        case MessageKind::kEndpointRow:  // outside a page
-            fields.complain("name", "unknown message");
+        case MessageKind::kEndpointRow:  // valid only after kEndpointPage
+            fields.throw_error("name", "unknown message");
     }
 }
 
-void Link::begin_batch(MessageFields& fields) {
-    if (in_batch_) fields.complain("name", "batch inside a batch");
+void SimulatorLink::handle_begin_batch(MessageFields& fields) {
+    if (in_batch_) fields.throw_error("name", "TURN before the previous batch has ended");
     const auto clock = fields.time("clock");
-    if (clock < now_) fields.complain("clock", "goes back");
+    if (clock < now_) fields.throw_error("clock", "earlier than in the previous batch");
     now_ = clock;
     batch_ = fields.number<std::int64_t>("batch", 0, kMaxInteger);
-    fields.end();
+    fields.expect_end();
     in_batch_ = true;
 }
 
-std::string Link::end_batch(MessageFields& fields) {
-    fields.end();
+std::string SimulatorLink::handle_end_batch(MessageFields& fields) {
+    fields.expect_end();
     in_batch_ = false;
     reply_.append(word_for(kReplies, ReplyKind::kEndBatch)).append(1, ' ');
     reply_.append(std::to_string(batch_)).append(1, '\n');
     return std::exchange(reply_, {});
 }
 
-std::string Link::take_line(std::string_view line) {
+std::string SimulatorLink::process_line(std::string_view line) {
     ++line_number_;
     MessageFields fields(line, line_number_);
     if (rows_left_ > 0) {
         if (fields.name() != word_for(kMessages, MessageKind::kEndpointRow)) {
-            fields.complain("name", "expected ROW");
+            fields.throw_error("name", "expected a ROW message");
         }
-        endpoint_row(fields);
+        handle_endpoint_row(fields);
         return {};
     }
     if (fields.name() == word_for(kMessages, MessageKind::kBeginBatch)) {
-        begin_batch(fields);
+        handle_begin_batch(fields);
         return {};
     }
-    if (!in_batch_) fields.complain("name", "outside a batch");
-    if (fields.name() == word_for(kMessages, MessageKind::kEndBatch)) return end_batch(fields);
-    handle(fields);
+    if (!in_batch_) fields.throw_error("name", "message outside a batch");
+    if (fields.name() == word_for(kMessages, MessageKind::kEndBatch)) return handle_end_batch(fields);
+    dispatch(fields);
     return {};
 }
 
 int run(std::istream& in, std::ostream& out, std::ostream& err) {
-    Link link;
+    SimulatorLink link;
     std::string line;
     try {
         while (std::getline(in, line)) {
-            const auto reply = link.take_line(line);
+            const auto reply = link.process_line(line);
             if (!reply.empty()) out << reply << std::flush;
         }
     } catch (const WireError& error) {
--- a/src/simulator_adapter/wire_terms.h
+++ b/src/simulator_adapter/wire_terms.h
@@ -1,5 +1,4 @@
-// The simulator's words and the terms that they stand for here: one table for each kind, read in both
-// directions.
+// Tables that map the simulator's words to enum values, and back.
 #pragma once
 
 #include <array>
@@ -16,7 +15,7 @@
     kEndBatch,
     kStartGateway,
     kStopGateway,
-    kEndpointPage,  // a list of endpoints, to which kEndpointList refers
+    kEndpointPage,  // header of a list of endpoints that kEndpointList refers to
     kEndpointRow,
     kEndpointList,
     kRequest,
@@ -102,7 +101,7 @@
     {"X", policy::EndpointListKind::kFailed},
 }};
 
-// The word for a term of one of these tables; empty for none.
+// Returns the word for a value of one of these tables, or an empty string if there is none.
 template <typename Term, std::size_t Count>
 constexpr std::string_view word_for(const std::array<config::Word<Term>, Count>& words, Term term) {
     for (const auto& word : words) {
--- a/tests/recorded_day_test.cpp
+++ b/tests/recorded_day_test.cpp
@@ -1,14 +1,13 @@
-// Decisions over a recorded stretch of a simulated day, against those of an earlier release.
+// Compares the decisions for a recorded part of a simulated day with those of an earlier release.
 //
-// The failure this is against: a change that is meant to alter no decision (a rename, a move of code) draws
-// random numbers in another order, iterates a container in another order, or evaluates a floating-point
-// expression in another order. Unit tests of single rules still pass then, while quotas and load drift in
-// production.
+// Guards against refactorings that change decisions by accident: random numbers are drawn, a container is
+// iterated or a floating-point expression is evaluated in another order. Unit tests of single rules still
+// pass then, while quotas and load drift in production.
 //
 // tests/data/recorded_*.in are whole batches from the start of a recorded day, as the simulator sent them to
-// three (overload) and two (trouble) gateways. The expected digests are those of the output that the program
-// wrote at commit time of these files, before the decision module was split. A change that is meant to alter
-// decisions replaces them, and says so.
+// three (overload) and two (trouble) gateways. The expected digests are those of the output when these files
+// were committed, before the decision module was split. A change that alters decisions on purpose has to
+// replace the digests and say so in its commit.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -34,12 +33,12 @@
 TEST_P(RecordedDayTest, OutputIsThatOfTheReferenceProgram) {
     std::ifstream input(std::string(LINNETLEAD_TEST_DATA) + "/" + GetParam().file);
     ASSERT_TRUE(input) << GetParam().file;
-    Link link;
+    SimulatorLink link;
     std::uint64_t digest = kFnvOffsetBasis;
     std::size_t output_bytes = 0;
     std::string line;
     while (std::getline(input, line)) {
-        const std::string reply = link.take_line(line);
+        const std::string reply = link.process_line(line);
         output_bytes += reply.size();
         for (const char byte : reply) digest = (digest ^ static_cast<unsigned char>(byte)) * kFnvPrime;
     }
