--- a/src/storage/checksummed_file.cpp
+++ b/src/storage/checksummed_file.cpp
@@ -20,7 +20,7 @@
 
 constexpr int kCompressionLevel = 3;  // zstd's default
 
-// The first line of a checksummed file, with its end of line.
+// Returns the first line of a checksummed file, including the line break.
 std::string header_line(std::string_view kind, std::string_view frame) {
     char text[20];
     std::snprintf(text, sizeof(text), "%016llx\n",
@@ -37,7 +37,7 @@
 }
 
 Result<std::string> decompress(std::string_view bytes, std::size_t max_bytes) {
-    const auto damaged = [] { return fail(ErrorCode::kDataLoss, "it cannot be unpacked"); };
+    const auto damaged = [] { return fail(ErrorCode::kDataLoss, "it cannot be decompressed"); };
     const auto size = ZSTD_getFrameContentSize(bytes.data(), bytes.size());
     if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > max_bytes) {
         return damaged();
@@ -54,20 +54,20 @@
 
 Result<std::string> decode_checksummed(std::string_view kind, std::string_view bytes) {
     const auto line_end = bytes.find('\n');
-    const bool of_kind =
+    const bool has_kind =
         bytes.substr(0, kind.size()) == kind && bytes.size() > kind.size() && bytes[kind.size()] == ' ';
-    if (!of_kind || line_end == std::string_view::npos) {
-        return fail(ErrorCode::kInvalidArgument, "it is of another kind or version");
+    if (!has_kind || line_end == std::string_view::npos) {
+        return fail(ErrorCode::kInvalidArgument, "it has another kind or version");
     }
     const std::string_view frame = bytes.substr(line_end + 1);
     if (header_line(kind, frame) != bytes.substr(0, line_end + 1)) {
-        return fail(ErrorCode::kDataLoss, "it does not fit its checksum");
+        return fail(ErrorCode::kDataLoss, "its checksum does not match");
     }
     return decompress(frame);
 }
 
 Status replace_file(const std::string& path, const std::string& bytes, mode_t mode) {
-    // Of this process alone: another may be writing the same state, as in a hot restart.
+    // The process id keeps the name unique: during a hot restart two processes may write the same state.
     const std::string part = path + ".part." + std::to_string(::getpid());
     const int file = open_file(part, O_WRONLY | O_CREAT | O_TRUNC, mode);
     if (file < 0) return fail(ErrorCode::kIo, file_error(part, "opened"));
@@ -87,17 +87,17 @@
 
 void remove_abandoned_parts(const std::string& path) {
     namespace fs = std::filesystem;
-    const std::string start = fs::path(path).filename().string() + ".part";
-    const fs::path folder = fs::path(path).parent_path();
+    const std::string prefix = fs::path(path).filename().string() + ".part";
+    const fs::path directory = fs::path(path).parent_path();
     std::error_code error;
-    for (auto at = fs::directory_iterator(folder.empty() ? "." : folder, error);
-         !error && at != fs::directory_iterator(); at.increment(error)) {
-        const std::string name = at->path().filename().string();
-        if (name.compare(0, start.size(), start) != 0) continue;
-        // Without a process's number: of an earlier release.
-        const int pid = name.size() > start.size() ? std::atoi(name.c_str() + start.size() + 1) : 0;
+    for (auto entry = fs::directory_iterator(directory.empty() ? "." : directory, error);
+         !error && entry != fs::directory_iterator(); entry.increment(error)) {
+        const std::string name = entry->path().filename().string();
+        if (name.compare(0, prefix.size(), prefix) != 0) continue;
+        // Earlier releases wrote the name without a process id.
+        const int pid = name.size() > prefix.size() ? std::atoi(name.c_str() + prefix.size() + 1) : 0;
         const bool is_abandoned = pid <= 0 || (::kill(pid, 0) != 0 && errno == ESRCH);
-        if (is_abandoned) ::unlink(at->path().c_str());
+        if (is_abandoned) ::unlink(entry->path().c_str());
     }
 }
 
--- a/src/storage/file_calls.cpp
+++ b/src/storage/file_calls.cpp
@@ -18,22 +18,22 @@
     static std::function<int(FileCall)> fault;
     return fault;
 }
-int fault_of(FileCall call) { return injected_fault() ? injected_fault()(call) : 0; }
+int next_fault(FileCall call) { return injected_fault() ? injected_fault()(call) : 0; }
 #else
-int fault_of(FileCall) { return 0; }
+int next_fault(FileCall) { return 0; }
 #endif
 
-template <typename Act>
-int unless_faulty(FileCall call, Act act) {
-    const int fault = fault_of(call);
-    if (fault <= 0) return act();
+template <typename SystemCall>
+int call_unless_fault_injected(FileCall call, SystemCall system_call) {
+    const int fault = next_fault(call);
+    if (fault <= 0) return system_call();
     errno = fault;
     return -1;
 }
 
-// Of a read or a write of so many bytes: how many to ask for, or -1 and errno.
+// Returns how many of `bytes` a read or write may transfer; -1 with errno set if a fault is injected.
 ssize_t allowed_transfer(FileCall call, std::size_t bytes) {
-    const int fault = fault_of(call);
+    const int fault = next_fault(call);
     if (fault == kShortTransfer) return static_cast<ssize_t>(std::min<std::size_t>(bytes, 1));
     if (fault == 0) return static_cast<ssize_t>(bytes);
     errno = fault;
@@ -49,31 +49,34 @@
 #endif
 
 int open_file(const std::string& path, int flags, mode_t mode) {
-    return unless_faulty(FileCall::kOpen, [&] { return ::open(path.c_str(), flags | O_CLOEXEC, mode); });
+    return call_unless_fault_injected(FileCall::kOpen,
+                                      [&] { return ::open(path.c_str(), flags | O_CLOEXEC, mode); });
 }
 
 int status_of(const std::string& path, struct stat& status) {
-    return unless_faulty(FileCall::kStat, [&] { return ::stat(path.c_str(), &status); });
+    return call_unless_fault_injected(FileCall::kStat, [&] { return ::stat(path.c_str(), &status); });
 }
 
 int status_of(int file, struct stat& status) {
-    return unless_faulty(FileCall::kStat, [&] { return ::fstat(file, &status); });
+    return call_unless_fault_injected(FileCall::kStat, [&] { return ::fstat(file, &status); });
 }
 
 int sync_file(int file) {
-    return unless_faulty(FileCall::kSync, [&] { return ::fsync(file); });
+    return call_unless_fault_injected(FileCall::kSync, [&] { return ::fsync(file); });
 }
 
 int sync_file_data(int file) {
-    return unless_faulty(FileCall::kSync, [&] { return ::fdatasync(file); });
+    return call_unless_fault_injected(FileCall::kSync, [&] { return ::fdatasync(file); });
 }
 
 int truncate_file(int file, std::uint64_t bytes) {
-    return unless_faulty(FileCall::kTruncate, [&] { return ::ftruncate(file, static_cast<off_t>(bytes)); });
+    return call_unless_fault_injected(FileCall::kTruncate,
+                                      [&] { return ::ftruncate(file, static_cast<off_t>(bytes)); });
 }
 
 int rename_file(const std::string& from, const std::string& to) {
-    return unless_faulty(FileCall::kRename, [&] { return std::rename(from.c_str(), to.c_str()); });
+    return call_unless_fault_injected(FileCall::kRename,
+                                      [&] { return std::rename(from.c_str(), to.c_str()); });
 }
 
 bool write_whole(int file, std::string_view bytes, std::uint64_t offset) {
@@ -91,16 +94,16 @@
 }
 
 bool read_whole(int file, std::string& into, std::uint64_t offset) {
-    std::size_t done = 0;
-    while (done < into.size()) {
-        const ssize_t allowed = allowed_transfer(FileCall::kRead, into.size() - done);
+    std::size_t bytes_read = 0;
+    while (bytes_read < into.size()) {
+        const ssize_t allowed = allowed_transfer(FileCall::kRead, into.size() - bytes_read);
         if (allowed < 0) return false;
-        const ssize_t size = ::pread(file, into.data() + done, static_cast<std::size_t>(allowed),
-                                     static_cast<off_t>(offset + done));
+        const ssize_t size = ::pread(file, into.data() + bytes_read, static_cast<std::size_t>(allowed),
+                                     static_cast<off_t>(offset + bytes_read));
         if (size < 0 && errno == EINTR) continue;
         if (size == 0) errno = ENODATA;
         if (size <= 0) return false;
-        done += static_cast<std::size_t>(size);
+        bytes_read += static_cast<std::size_t>(size);
     }
     return true;
 }
--- a/src/storage/state_file.cpp
+++ b/src/storage/state_file.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-// To the first name that is free: an earlier one may be all that is left of a state.
-Status set_aside(const std::string& path) {
+// Uses the first free name, because an earlier unusable file may be the only copy of a state.
+Status rename_unusable_file(const std::string& path) {
     for (int number = 1; number <= kMaxSetAside; ++number) {
         const std::string to = path + ".unusable." + std::to_string(number);
         struct stat status {};
         if (status_of(to, status) == 0) continue;
-        if (errno != ENOENT) return fail(ErrorCode::kIo, file_error(to, "looked for"));
+        if (errno != ENOENT) return fail(ErrorCode::kIo, file_error(to, "checked"));
         if (rename_file(path, to) == 0 || errno == ENOENT) return {};
-        return fail(ErrorCode::kIo, file_error(path, "set aside"));
+        return fail(ErrorCode::kIo, file_error(path, "renamed"));
     }
     return fail(ErrorCode::kResourceExhausted, path + ".unusable.1 and all further names are taken");
 }
@@ -31,7 +31,7 @@
     if (!bytes) {
         if (bytes.error().code != ErrorCode::kNotFound) {
             problem_ = bytes.error().message;
-            sets_aside_ = true;
+            has_unusable_file_ = true;
         }
         return bytes;
     }
@@ -42,20 +42,21 @@
 
 void StateFile::reject(const std::string& why) {
     problem_ = path_ + ": " + why;
-    sets_aside_ = true;
+    has_unusable_file_ = true;
 }
 
 std::function<Status()> StateFile::writer(std::string state) const {
-    return [path = path_, kind = kind_, sets_aside = sets_aside_, state = std::move(state)]() -> Status {
-        if (sets_aside) {
-            if (Status moved = set_aside(path); !moved) return moved;
+    return [path = path_, kind = kind_, has_unusable_file = has_unusable_file_,
+            state = std::move(state)]() -> Status {
+        if (has_unusable_file) {
+            if (Status renamed = rename_unusable_file(path); !renamed) return renamed;
         }
         return replace_file(path, encode_checksummed(kind, state));
     };
 }
 
 void StateFile::written(const Status& result) {
-    if (result) sets_aside_ = false;
+    if (result) has_unusable_file_ = false;
 }
 
 }  // namespace linnetlead::storage
--- a/src/storage/state_file.h
+++ b/src/storage/state_file.h
@@ -1,6 +1,6 @@
-// A state that a process keeps in one checksummed file for its next start. What is found there is told apart:
-// nothing, a usable state, a damaged one, or one that cannot be read; and what could not be used is never
-// overwritten, but set aside under a name of its own before the first save.
+// State that a process keeps in one checksummed file for its next start. load() distinguishes four cases: no
+// file, a usable one, a damaged one, and one that cannot be read. An unusable file is never overwritten: the
+// first save renames it before it writes a new one. The server's services use it.
 #pragma once
 
 #include <functional>
@@ -10,33 +10,34 @@
 
 namespace linnetlead::storage {
 
-constexpr int kMaxSetAside = 9;  // files PATH.unusable.1 and so on; with all taken, nothing is saved
+constexpr int kMaxSetAside = 9;  // files PATH.unusable.1, .2 ...; when all exist, saving fails
 
 class StateFile {
 public:
-    // `path`: empty, nothing is kept. `kind`: as of a checksummed file.
+    // An empty `path` disables saving. `kind`: see checksummed_file.h.
     StateFile(std::string path, std::string kind) : path_(std::move(path)), kind_(std::move(kind)) {}
 
     bool is_kept() const { return !path_.empty(); }
     const std::string& path() const { return path_; }
 
-    // The state. kNotFound: there is none. kDataLoss, kInvalidArgument: it is damaged or of another kind;
-    // kIo: it cannot be read. Blocks on the disk.
+    // Returns the state. kNotFound: there is no file. kDataLoss, kInvalidArgument: it is damaged or of
+    // another kind. kIo: it cannot be read. Blocks on the disk.
     Result<std::string> load();
-    // What load() returned makes no sense to its reader.
+    // Marks the loaded state as unusable, because its content is invalid for the caller.
     void reject(const std::string& why);
-    // Why what was found could not be used, with its path; empty: it could, or there was none.
+    // Why the file is unusable, with its path; empty if it is usable or does not exist.
     const std::string& problem() const { return problem_; }
 
-    // Writes a state, on whatever thread it is called; it blocks on the disk and does not touch this object.
+    // Returns a function that writes `state`. It may run on any thread, blocks on the disk and does not
+    // access this object.
     std::function<Status()> writer(std::string state) const;
-    // The outcome of the newest write. A good one leaves nothing to be set aside.
+    // Records the result of the last write. After a success no unusable file is left to rename.
     void written(const Status& result);
 
 private:
     std::string path_, kind_;
     std::string problem_;
-    bool sets_aside_ = false;  // before the next write
+    bool has_unusable_file_ = false;  // the next write renames it first
 };
 
 }  // namespace linnetlead::storage
--- a/tests/checksummed_file_test.cpp
+++ b/tests/checksummed_file_test.cpp
@@ -1,5 +1,5 @@
-// Files that a process reads back at its next start: a damaged one is never read as if it were good, and one
-// that the release before wrote is read.
+// Checksummed files: a damaged or truncated file must never decode, and a file that an earlier release wrote
+// must still decode.
 #include "storage/checksummed_file.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 constexpr const char* kKind = "linnetlead-test 1";
 const std::string kText = "first line\nsecond line\n";
 
-TEST(ChecksummedFile, OneOfTheReleaseBeforeIsRead) {
+TEST(ChecksummedFile, DecodesFileOfEarlierRelease) {
     const auto bytes = storage::read_file(LINNETLEAD_TEST_DATA "/checksummed_file.bin");
     ASSERT_TRUE(bytes) << bytes.error().message;
     const auto text = storage::decode_checksummed(kKind, *bytes);
@@ -22,7 +22,7 @@
     EXPECT_EQ(storage::encode_checksummed(kKind, kText).substr(0, 18), bytes->substr(0, 18));
 }
 
-TEST(ChecksummedFile, ADamagedOrShortenedOneIsNeverRead) {
+TEST(ChecksummedFile, RejectsDamagedOrTruncatedFile) {
     const std::string good = storage::encode_checksummed(kKind, kText);
     for (std::size_t i = 0; i < good.size(); ++i) {
         std::string damaged = good;
@@ -37,14 +37,14 @@
               ErrorCode::kInvalidArgument);
 }
 
-TEST(ChecksummedFile, AFrameOverTheBoundIsNotDecompressed) {
+TEST(ChecksummedFile, RejectsFrameOverSizeLimit) {
     const std::string frame = storage::compress(std::string(1000, 'a'));
     EXPECT_EQ(storage::decompress(frame, 999).error().code, ErrorCode::kDataLoss);
     EXPECT_EQ(storage::decompress(frame, 1000)->size(), 1000u);
 }
 
-// Where a file cannot be replaced, what was there stands.
-TEST(ChecksummedFile, IsReplacedWholeOrNotAtAll) {
+// A failed replacement leaves the old content in place.
+TEST(ChecksummedFile, ReplacesFileCompletelyOrNotAtAll) {
     const std::string path = test_support::temporary_path("state");
     EXPECT_TRUE(storage::replace_file(path, "old"));
     EXPECT_TRUE(storage::replace_file(path, "new"));
