--- a/src/traffic/canary_rollout.h
+++ b/src/traffic/canary_rollout.h
@@ -1,5 +1,7 @@
-// One move of traffic from a pool to another: its stages, its guards, and the state machine that walks
-// through them on every gateway of the tier at once. No I/O; the time is told.
+// A rollout: moves traffic from one pool (source) to another (target) in stages. The state machine runs on
+// every gateway of the group. It advances when all gateways are in the same stage and the evidence shows that
+// the new pool is good, and rolls back when the evidence shows that it is worse. Router owns the current
+// rollout and passes in requests, attempts and the time; the state machine does no I/O.
 #pragma once
 
 #include <array>
@@ -22,37 +24,38 @@
 
 enum class Order { kRun, kPause, kAbort };
 
-// As the operators' file has it.
+// A rollout as the operators' file defines it.
 struct RolloutSettings {
     std::string name;
-    int run = 1;  // the next number starts a move anew that has ended
+    int run = 1;  // a new number restarts a rollout that has ended
     std::string source, target;
-    std::vector<std::string> classes, plans;  // none: all
-    bool by_account = false;                  // an account's calls go together
+    std::vector<std::string> classes, plans;  // empty: all
+    bool by_account = false;                  // all requests of an account go to the same pool
     std::vector<Stage> stages;
-    Duration step = std::chrono::seconds(5);  // in which a share rises to its stage's
+    Duration step = std::chrono::seconds(5);  // in which the share rises to that of the stage
     Tolerance tolerance;
-    Duration lease = std::chrono::seconds(10);  // without a word of the others
+    Duration lease = std::chrono::seconds(10);  // longest time without a view of the others
     Duration deadline = std::chrono::hours(1);
     bool undo_at_deadline = true;
     bool keep_at_end = true;
     double headroom = 1.5;
     Order order = Order::kRun;
 
-    // What makes it the same move at all gateways: all but what may be changed while it runs.
+    // Identifies the rollout on all gateways. Hash of its name, run, pools, scope and shares; settings that
+    // may change while it runs are not part of it.
     std::string id() const;
 };
 
 enum class State { kWaiting, kStepping, kHolding, kHalted, kRollingBack, kUndone, kDone };
 const char* name_of(State state);
 
-// A transition, for the log.
+// A state transition, for the log.
 struct Event {
     Timestamp at{};
     std::string move;
     State from = State::kWaiting, to = State::kWaiting;
     int stage = 0;
-    double share = 0;  // in the new pool, from now on
+    double share = 0;  // of the new pool after the transition
     std::string reason;
 };
 
@@ -63,93 +66,102 @@
         int self = 0;
         std::size_t classes = 1;
         std::uint64_t seed = 0;
-        SlowStartBudget::Figures cold;  // but for the headroom, which is the move's
+        SlowStartBudget::Settings slow_start;  // its headroom is replaced by that of the rollout
     };
-    CanaryRollout(RolloutSettings settings, Site site, Timestamp now, Counting& counting,
-                  std::function<void(const Event&)> events);
+    CanaryRollout(RolloutSettings settings, Site site, Timestamp now, GroupChannel& channel,
+                  std::function<void(const Event&)> on_event);
 
-    // Every tenth of a second or so.
+    // Call it about every 100 ms.
     void tick(Timestamp now);
-    void counted(Timestamp now, const std::string& name, bool good, double total);
-    // Another gateway says by datagram that it has halted this move.
-    void halted_elsewhere(Timestamp now) { roll_back(now, "another gateway has halted the move"); }
-    // The endpoints of both pools that may be sent to.
-    void endpoints(Timestamp now, const std::vector<SlowStartBudget::Endpoint>& source,
-                   const std::vector<SlowStartBudget::Endpoint>& target);
-
-    // Whether a call goes to the new pool; the draw is one of [0, 1), by the call or by its account.
-    bool to_target(Timestamp now, int traffic_class, double draw);
-    // A first attempt of any call has gone to the old pool.
-    void carried(Timestamp now, int traffic_class) { cold_.carried(now, traffic_class, false); }
-    // One of a call meant for the new pool has gone there.
-    void sent_to_target(Timestamp now, int traffic_class);
-    // A first attempt that went where its call was meant for has ended. `counts` is false where its end says
-    // nothing of the pool (the client went).
-    void ended(Side side, int traffic_class, double units, double latency_s, bool served, bool in_aim,
-               bool counts);
-
-    // What may be changed while it runs: the order alone.
-    void ordered(Timestamp now, Order order);
+    // Handles the total of a count of the shared counter.
+    void receive_count(Timestamp now, const std::string& name, bool ok, double total);
+    // Another gateway reported by datagram that it has halted this rollout.
+    void receive_halt(Timestamp now) { roll_back(now, "another gateway has halted the move"); }
+    // Sets the endpoints of both pools that are in service.
+    void update_endpoints(Timestamp now, const std::vector<SlowStartBudget::Endpoint>& source,
+                          const std::vector<SlowStartBudget::Endpoint>& target);
+
+    // Decides whether a request goes to the new pool. `draw` lies in [0, 1), and is random per request or
+    // derived from the account.
+    bool selects_target(Timestamp now, int traffic_class, double draw);
+    // Records a first attempt of any request that was sent to the old pool.
+    void record_sent_to_source(Timestamp now, int traffic_class) {
+        budget_.record_request(now, traffic_class, false);
+    }
+    // Records a first attempt that was sent to the new pool, for a request that was assigned to it.
+    void record_sent_to_target(Timestamp now, int traffic_class);
+    // Records the end of a first attempt that was sent to the pool its request was assigned to. `is_evidence`
+    // is false if the outcome says nothing about the pool, such as a client that disconnected.
+    void record_attempt_end(Side side, int traffic_class, double units, double latency_s, bool served,
+                            bool met_objective, bool is_evidence);
+
+    // The order is the only setting that can change while the rollout runs.
+    void set_order(Timestamp now, Order order);
 
     const RolloutSettings& settings() const { return settings_; }
     State state() const { return state_; }
-    int stage() const { return stage_; }  // 0: none yet
+    int stage() const { return stage_; }  // 0: not started
     double share(Timestamp now) const;
     const std::string& reason() const { return reason_; }
-    std::string verdict(Timestamp now) const;  // in words, for the operator
-    std::uint64_t counter_calls() const { return tier_.calls(); }
-    const Evidence& evidence() const { return judge_.evidence(); }
+    // What the rollout is waiting for, or why it ended; text for the operator.
+    std::string verdict(Timestamp now) const;
+    std::uint64_t counter_calls() const { return group_.counter_requests(); }
+    const Evidence& evidence() const { return analysis_.evidence(); }
+    // Requests that stayed in the old pool because of the slow-start budget.
     std::uint64_t bounded() const { return bounded_; }
+    // Attempts in the new pool that have not ended.
     int outstanding() const { return outstanding_; }
     bool has_ended() const { return state_ == State::kUndone || state_ == State::kDone; }
 
 private:
-    // Places, as the tier counts them: halted, then each stage from none on, then done.
-    static constexpr int kHaltedPlace = 0;
-    int place_of_stage(int stage) const { return stage + 1; }
-    int done_place() const { return last_stage() + 2; }
+    // The phases that GatewayGroup counts: halted, then stage 0 (not started) to the last stage, then done.
+    static constexpr int kHaltedPhase = 0;
+    int phase_of_stage(int stage) const { return stage + 1; }
+    int done_phase() const { return last_stage() + 2; }
     int last_stage() const { return static_cast<int>(settings_.stages.size()); }
-    std::optional<int> place() const;
+    std::optional<int> phase() const;  // that this gateway publishes
 
-    void enter(Timestamp now, State state, const std::string& reason);
+    void enter_state(Timestamp now, State state, const std::string& reason);
     void go_to_stage(Timestamp now, int stage, const std::string& reason);
     void roll_back(Timestamp now, const std::string& reason);
     void finish(Timestamp now, const std::string& reason);
-    void follow(Timestamp now);       // what the others are known to do
-    void learn_place(Timestamp now);  // after a start
-    void judge(Timestamp now, bool news);
-    bool hold_is_over(Timestamp now) const;
+    void follow_group(Timestamp now);   // acts on a new view of the other gateways
+    void recover_stage(Timestamp now);  // after a start, from the views of the other gateways
+    // Rolls back, or counts the evaluations in a row that show a good pool.
+    void evaluate_evidence(Timestamp now, bool has_new_evidence);
+    bool is_hold_over(Timestamp now) const;
     bool may_advance(Timestamp now) const;
     double stage_share(int stage) const;
-    std::string why_not(Timestamp now) const;  // empty: it may go on
+    std::string blocking_reason(Timestamp now) const;  // empty: it may advance
 
     RolloutSettings settings_;
     Site site_;
-    std::function<void(const Event&)> events_;
-    Counting& counting_;
-    CanaryAnalysis judge_;
-    SlowStartBudget cold_;
-    GatewayGroup tier_;
+    std::function<void(const Event&)> on_event_;
+    GroupChannel& channel_;
+    CanaryAnalysis analysis_;
+    SlowStartBudget budget_;
+    GatewayGroup group_;
     State state_ = State::kWaiting;
-    std::string reason_ = "the place of the other gateways is not known yet";
+    std::string reason_ = "the stage of the other gateways is not known yet";
     int stage_ = 0;
-    int views_ = 0;           // good ones since the start
-    bool knows_ = false;      // its place
-    bool suspended_ = false;  // cut off: nothing goes to the new pool until the others are heard again
-    bool paused_ = false;
-    std::optional<Timestamp> heard_;
-    std::optional<Timestamp> begun_;  // the first stage
-    Timestamp step_from_at_{};
-    double step_from_ = 0;
-    double held_share_ = 0;  // while paused
-    Timestamp holds_since_{};
-    int worse_looks_ = 0, shown_looks_ = 0;  // in a row
-    Timestamp pooled_at_{};
+    int views_since_start_ = 0;
+    bool is_stage_known_ = false;  // false after a start, until the others' views have been read
+    bool is_cut_off_ = false;      // nothing goes to the new pool until all gateways report again
+    bool is_paused_ = false;
+    std::optional<Timestamp> last_view_at_;
+    std::optional<Timestamp> first_stage_at_;
+    Timestamp step_started_at_{};
+    double step_start_share_ = 0;
+    double paused_share_ = 0;
+    Timestamp hold_started_at_{};
+    int worse_looks_ = 0, good_looks_ = 0;  // evaluations in a row with this result
+    Timestamp evaluated_pooled_at_{};
     std::size_t target_endpoints_ = 0, source_endpoints_ = 0;
     int outstanding_ = 0;
-    int halts_to_tell_ = 0;
-    // Calls since the last look that a stage's share was for, and those that the new pool had room for.
-    double wanted_ = 0, given_ = 0;
+    int halt_messages_left_ = 0;
+    // Requests that the stage's share assigns to the new pool, and those that the budget admitted; with
+    // decay.
+    double wanted_ = 0, admitted_ = 0;
     Timestamp last_tick_{};
     std::uint64_t bounded_ = 0;
 };
--- a/src/traffic/gateway_group.cpp
+++ b/src/traffic/gateway_group.cpp
@@ -10,133 +10,138 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr Duration kLife = 8s;  // of a count: read once, in the next slot
+constexpr Duration kCountLifetime = 8s;  // of a count, which is read once in the next slot
 
-constexpr std::array<double Evidence::*, 6> kParts{&Evidence::weight,  &Evidence::slower,
-                                                   &Evidence::failing, &Evidence::stage_weight,
-                                                   &Evidence::shown,   &Evidence::attempts};
+constexpr std::array<double Evidence::*, 6> kEvidenceFields{&Evidence::weight,  &Evidence::slower,
+                                                            &Evidence::failing, &Evidence::stage_weight,
+                                                            &Evidence::shown,   &Evidence::attempts};
 
 }  // namespace
 
-GatewayGroup::GatewayGroup(std::string move_id, int gateways, int places, Counting& counting)
-    : id_(std::move(move_id)), gateways_(gateways), places_(places), counting_(counting) {
-    per_name_ = std::max(1, static_cast<int>(kMaxDigits / std::log10(gateways + 1.0)));
+GatewayGroup::GatewayGroup(std::string rollout_id, int gateways, int phases, GroupChannel& channel)
+    : id_(std::move(rollout_id)), gateways_(gateways), phases_(phases), channel_(channel) {
+    phases_per_count_ = std::max(1, static_cast<int>(kMaxDigits / std::log10(gateways + 1.0)));
 }
 
-std::string GatewayGroup::name(char what, std::int64_t slot_number, std::size_t part) const {
-    return std::string(kPrefix) + id_ + '.' + what + '.' + std::to_string(slot_number) + '.' +
+std::string GatewayGroup::count_name(char kind, std::int64_t slot_number, std::size_t part) const {
+    return std::string(kPrefix) + id_ + '.' + kind + '.' + std::to_string(slot_number) + '.' +
            std::to_string(part);
 }
 
-std::string GatewayGroup::evidence_name(const Told& as, std::size_t part) const {
-    return name('e', as.slot, part) + '.' + std::to_string(as.stage) + '.' + std::to_string(as.epoch);
+std::string GatewayGroup::evidence_name(const Publication& publication, std::size_t part) const {
+    return count_name('e', publication.slot, part) + '.' + std::to_string(publication.stage) + '.' +
+           std::to_string(publication.epoch);
 }
 
-void GatewayGroup::count(const std::string& what, double amount) {
-    ++calls_;
-    counting_.count(what, amount, kLife);
+void GatewayGroup::add_to_count(const std::string& name, double amount) {
+    ++counter_requests_;
+    channel_.count(name, amount, kCountLifetime);
 }
 
-void GatewayGroup::tell_place(std::int64_t slot_number, int place) {
-    const double digit = std::pow(gateways_ + 1.0, place % per_name_);
-    count(name('p', slot_number, static_cast<std::size_t>(place / per_name_)), digit);
+void GatewayGroup::publish_phase(std::int64_t slot_number, int phase) {
+    const double digit = std::pow(gateways_ + 1.0, phase % phases_per_count_);
+    add_to_count(count_name('p', slot_number, static_cast<std::size_t>(phase / phases_per_count_)), digit);
 }
 
-void GatewayGroup::ask(agreement::SlotQuery query, agreement::SlotQuery& into) {
+void GatewayGroup::send_query(agreement::SlotQuery query, agreement::SlotQuery& into) {
     into = std::move(query);
-    calls_ += into.size();
-    into.send(counting_, kLife);
+    counter_requests_ += into.size();
+    into.send(channel_, kCountLifetime);
 }
 
-void GatewayGroup::ask_places(std::int64_t slot_number) {
+void GatewayGroup::query_phases(std::int64_t slot_number) {
     std::vector<std::string> names;
-    for (int place = 0; place < places_; place += per_name_) {
-        names.push_back(name('p', slot_number, static_cast<std::size_t>(place / per_name_)));
+    for (int phase = 0; phase < phases_; phase += phases_per_count_) {
+        names.push_back(count_name('p', slot_number, static_cast<std::size_t>(phase / phases_per_count_)));
     }
-    ask({slot_number, std::move(names)}, places_asked_);
+    send_query({slot_number, std::move(names)}, phases_query_);
 }
 
-void GatewayGroup::tell_evidence(const Told& as, const Evidence& mine) {
-    if (mine.stage_weight <= 0) return;
-    for (std::size_t part = 0; part < kParts.size(); ++part) {
-        if (const double amount = mine.*kParts[part]; amount != 0) count(evidence_name(as, part), amount);
+void GatewayGroup::publish_evidence(const Publication& publication, const Evidence& own) {
+    if (own.stage_weight <= 0) return;
+    for (std::size_t part = 0; part < kEvidenceFields.size(); ++part) {
+        if (const double amount = own.*kEvidenceFields[part]; amount != 0)
+            add_to_count(evidence_name(publication, part), amount);
     }
 }
 
-void GatewayGroup::ask_evidence(const Told& as) {
-    evidence_asked_as_ = as;
+void GatewayGroup::query_evidence(const Publication& publication) {
+    queried_publication_ = publication;
     std::vector<std::string> names;
-    for (std::size_t part = 0; part < kParts.size(); ++part) names.push_back(evidence_name(as, part));
-    ask({as.slot, std::move(names)}, evidence_asked_);
+    for (std::size_t part = 0; part < kEvidenceFields.size(); ++part)
+        names.push_back(evidence_name(publication, part));
+    send_query({publication.slot, std::move(names)}, evidence_query_);
 }
 
-void GatewayGroup::tick(Timestamp now, std::optional<int> place, int stage, const CanaryAnalysis& judge,
-                        bool evidence_wanted) {
-    if (gateways_ == 1) return tick_alone(now, place, stage, judge);
-    if (place && places_clock_.begin_slot(now)) tell_place(places_clock_.slot_number(now), *place);
-    if (const auto complete = places_clock_.take_complete_slot(now)) ask_places(*complete);
-    const std::int64_t evidence_now = evidence_clock_.slot_number(now);
-    if (stage > 0 && evidence_now != told_.slot) {
-        told_before_ = std::exchange(told_, Told{evidence_now, stage, judge.epoch_number()});
-        tell_evidence(told_, judge.evidence());
+void GatewayGroup::tick(Timestamp now, std::optional<int> phase, int stage, const CanaryAnalysis& analysis,
+                        bool wants_evidence) {
+    if (gateways_ == 1) return tick_alone(now, phase, stage, analysis);
+    if (phase && phases_clock_.begin_slot(now)) publish_phase(phases_clock_.slot_number(now), *phase);
+    if (const auto complete = phases_clock_.take_complete_slot(now)) query_phases(*complete);
+    const std::int64_t evidence_slot = evidence_clock_.slot_number(now);
+    if (stage > 0 && evidence_slot != published_.slot) {
+        published_before_ =
+            std::exchange(published_, Publication{evidence_slot, stage, analysis.epoch_number()});
+        publish_evidence(published_, analysis.evidence());
     }
     const auto complete = evidence_clock_.take_complete_slot(now);
-    if (!complete || !evidence_wanted) return;
-    // What was told in the slot before, also where a stage or an epoch has ended since.
-    for (const Told& as : {told_, told_before_}) {
-        if (as.slot == *complete) ask_evidence(as);
+    if (!complete || !wants_evidence) return;
+    // The evidence published in the complete slot, even if its stage or epoch has ended since.
+    for (const Publication& publication : {published_, published_before_}) {
+        if (publication.slot == *complete) query_evidence(publication);
     }
 }
 
-// A tier of one gateway needs no counter to agree.
-void GatewayGroup::tick_alone(Timestamp now, std::optional<int> place, int stage,
-                              const CanaryAnalysis& judge) {
-    if (!places_clock_.begin_slot(now)) return;
+// A group of one gateway needs no counter.
+void GatewayGroup::tick_alone(Timestamp now, std::optional<int> phase, int stage,
+                              const CanaryAnalysis& analysis) {
+    if (!phases_clock_.begin_slot(now)) return;
     View view;
     view.at = now;
-    view.at_place.assign(static_cast<std::size_t>(places_), 0);
-    if (place) view.at_place[static_cast<std::size_t>(*place)] = view.present = 1;
+    view.gateways_in_phase.assign(static_cast<std::size_t>(phases_), 0);
+    if (phase) view.gateways_in_phase[static_cast<std::size_t>(*phase)] = view.reporting_gateways = 1;
     view_ = std::move(view);
-    view_is_new_ = true;
-    pooled_ = {judge.evidence(), stage, judge.epoch_number(), now};
+    is_view_new_ = true;
+    pooled_ = {analysis.evidence(), stage, analysis.epoch_number(), now};
 }
 
-bool GatewayGroup::counted(Timestamp now, const std::string& of, bool good, double total) {
-    if (places_asked_.take_answer(of, good, total)) {
+bool GatewayGroup::receive_count(Timestamp now, const std::string& name, bool ok, double total) {
+    if (phases_query_.take_answer(name, ok, total)) {
         View view;
         view.at = now;
-        view.at_place.assign(static_cast<std::size_t>(places_), 0);
+        view.gateways_in_phase.assign(static_cast<std::size_t>(phases_), 0);
         const auto base = static_cast<std::int64_t>(gateways_ + 1);
-        for (int place = 0; place < places_;) {
-            auto rest = std::llround(places_asked_.total(static_cast<std::size_t>(place / per_name_)));
-            for (int i = 0; i < per_name_ && place < places_; ++i, ++place) {
-                const auto here = static_cast<int>(rest % base);
-                view.at_place[static_cast<std::size_t>(place)] = here;
-                view.present += here;
-                rest /= base;
+        for (int phase = 0; phase < phases_;) {
+            auto digits =
+                std::llround(phases_query_.total(static_cast<std::size_t>(phase / phases_per_count_)));
+            for (int i = 0; i < phases_per_count_ && phase < phases_; ++i, ++phase) {
+                const auto gateways = static_cast<int>(digits % base);
+                view.gateways_in_phase[static_cast<std::size_t>(phase)] = gateways;
+                view.reporting_gateways += gateways;
+                digits /= base;
             }
         }
-        places_asked_ = {};
-        // More than there are: a gateway that died and came back within the slot, or nonsense.
-        if (view.present > gateways_) return false;
+        phases_query_ = {};
+        // More gateways than exist: one restarted within the slot, or the counts are damaged.
+        if (view.reporting_gateways > gateways_) return false;
         view_ = std::move(view);
-        view_is_new_ = true;
+        is_view_new_ = true;
         return true;
     }
-    if (evidence_asked_.take_answer(of, good, total)) {
+    if (evidence_query_.take_answer(name, ok, total)) {
         pooled_ = {};
-        for (std::size_t part = 0; part < kParts.size(); ++part) {
-            pooled_.sum.*kParts[part] = evidence_asked_.total(part);
+        for (std::size_t part = 0; part < kEvidenceFields.size(); ++part) {
+            pooled_.sum.*kEvidenceFields[part] = evidence_query_.total(part);
         }
-        pooled_.stage = evidence_asked_as_.stage;
-        pooled_.epoch = evidence_asked_as_.epoch;
+        pooled_.stage = queried_publication_.stage;
+        pooled_.epoch = queried_publication_.epoch;
         pooled_.at = now;
-        evidence_asked_ = {};
+        evidence_query_ = {};
         return true;
     }
     return false;
 }
 
-bool GatewayGroup::take_view() { return std::exchange(view_is_new_, false); }
+bool GatewayGroup::take_view() { return std::exchange(is_view_new_, false); }
 
 }  // namespace linnetlead::traffic
--- a/src/traffic/gateway_group.h
+++ b/src/traffic/gateway_group.h
@@ -1,10 +1,13 @@
-// What the gateways of a tier tell each other of a move, by way of the shared counter: in each slot of time
-// every gateway adds its place in the move to the slot's count, and reads the slot before, which then is
-// complete. A count is a number of seven digits, so the number of gateways at each place is a digit of it, to
-// a base above the number of gateways; many places or gateways take several counts.
+// Shares the progress of a rollout and its evidence between the gateways of a group, through the shared
+// counter. CanaryRollout owns one per rollout.
 //
-// Counts are never corrected and never carried over: a slot that was lost, spoilt or emptied only says
-// nothing.
+// In each time slot every gateway adds its phase of the rollout to the counts of the slot and reads the
+// previous slot, which is complete by then. A count is a number of up to seven decimal digits. It encodes the
+// number of gateways in each phase as one digit to the base of the number of gateways plus 1; with many
+// phases or gateways the phases are spread over several counts.
+//
+// Counts are never corrected and never carried over, so a slot that was lost, damaged or emptied only yields
+// no information.
 #pragma once
 
 #include <optional>
@@ -17,11 +20,12 @@
 
 namespace linnetlead::traffic {
 
-// What a count is asked for. The names begin with GatewayGroup::kPrefix.
-class Counting : public agreement::Counting {
+// The channels to the other gateways: the shared counter, where the names of counts begin with
+// GatewayGroup::kPrefix, and datagrams.
+class GroupChannel : public agreement::Counting {
 public:
-    // A word to the other gateways, which may come late or never; where there is no way to them, nothing.
-    virtual void tell_peers(const std::string& text) = 0;
+    // Sends a message to all other gateways. It may arrive late or never; a no-op without a datagram channel.
+    virtual void notify_peers(const std::string& text) = 0;
 };
 
 class GatewayGroup {
@@ -29,29 +33,29 @@
     static constexpr std::string_view kPrefix = "mv.";
     static constexpr Duration kSlot = std::chrono::seconds(1);
     static constexpr Duration kEvidenceSlot = std::chrono::seconds(2);
-    // Behind the edge of a slot, so that gateways whose clocks differ by less have told theirs.
-    static constexpr Duration kReadAfter = std::chrono::milliseconds(350);
+    // After the end of a slot, so that gateways whose clocks differ by less have added their counts.
+    static constexpr Duration kReadDelay = std::chrono::milliseconds(350);
 
     struct View {
-        Timestamp at{};             // when it was learnt
-        std::vector<int> at_place;  // gateways at each place
-        int present = 0;
+        Timestamp at{};                      // when it was received
+        std::vector<int> gateways_in_phase;  // by phase
+        int reporting_gateways = 0;
     };
 
-    // `places`: how many there are. The move's id is part of every name.
-    GatewayGroup(std::string move_id, int gateways, int places, Counting& counting);
+    // `phases`: the number of phases. The rollout's id is part of the name of every count.
+    GatewayGroup(std::string rollout_id, int gateways, int phases, GroupChannel& channel);
 
-    // Tells and asks what is due. Place: nothing while this gateway does not know its own. The evidence of
-    // all is asked for only if wanted.
-    void tick(Timestamp now, std::optional<int> place, int stage, const CanaryAnalysis& judge,
-              bool evidence_wanted);
-    // A count of this move's; true when it changed what is known.
-    bool counted(Timestamp now, const std::string& name, bool good, double total);
+    // Publishes and queries what is due. `phase` is empty while this gateway does not know its own or holds
+    // the others. The evidence of all gateways is queried only if `wants_evidence`.
+    void tick(Timestamp now, std::optional<int> phase, int stage, const CanaryAnalysis& analysis,
+              bool wants_evidence);
+    // Handles the total of a count; true if it completed a new view or new pooled evidence.
+    bool receive_count(Timestamp now, const std::string& name, bool ok, double total);
 
     const std::optional<View>& view() const { return view_; }
-    bool take_view();  // there is one that was not taken before
-    // The evidence of all gateways that told theirs, of the newest slot that is complete; with it the stage
-    // and epoch it is of.
+    bool take_view();  // true once for each new view
+    // The sum of the evidence that the gateways published in the newest complete slot, with its stage and
+    // epoch.
     struct Pooled {
         Evidence sum;
         int stage = -1;
@@ -59,38 +63,39 @@
         Timestamp at{};
     };
     const Pooled& pooled() const { return pooled_; }
-    std::uint64_t calls() const { return calls_; }
+    std::uint64_t counter_requests() const { return counter_requests_; }
 
 private:
     static constexpr int kMaxDigits = 7;
-    struct Told {  // under which stage and epoch evidence went out
+    struct Publication {  // the slot, stage and epoch of published evidence
         std::int64_t slot = -1;
         int stage = -1;
         std::int64_t epoch = -1;
     };
-    std::string name(char what, std::int64_t slot, std::size_t part) const;
-    std::string evidence_name(const Told& as, std::size_t part) const;
-    void tell_place(std::int64_t slot, int place);
-    void ask_places(std::int64_t slot);
-    void tell_evidence(const Told& as, const Evidence& mine);
-    void ask_evidence(const Told& as);
-    void tick_alone(Timestamp now, std::optional<int> place, int stage, const CanaryAnalysis& judge);
-    void ask(agreement::SlotQuery query, agreement::SlotQuery& into);
-    void count(const std::string& name, double amount);
+    // `kind`: 'p' for phases, 'e' for evidence.
+    std::string count_name(char kind, std::int64_t slot, std::size_t part) const;
+    std::string evidence_name(const Publication& publication, std::size_t part) const;
+    void publish_phase(std::int64_t slot, int phase);
+    void query_phases(std::int64_t slot);
+    void publish_evidence(const Publication& publication, const Evidence& own);
+    void query_evidence(const Publication& publication);
+    void tick_alone(Timestamp now, std::optional<int> phase, int stage, const CanaryAnalysis& analysis);
+    void send_query(agreement::SlotQuery query, agreement::SlotQuery& into);
+    void add_to_count(const std::string& name, double amount);
 
     std::string id_;
     int gateways_;
-    int places_;
-    Counting& counting_;
-    int per_name_;  // places in one count
-    agreement::SlotClock places_clock_{kSlot, kReadAfter}, evidence_clock_{kEvidenceSlot, kReadAfter};
-    Told told_, told_before_;
-    agreement::SlotQuery places_asked_, evidence_asked_;
-    Told evidence_asked_as_;
+    int phases_;
+    GroupChannel& channel_;
+    int phases_per_count_;
+    agreement::SlotClock phases_clock_{kSlot, kReadDelay}, evidence_clock_{kEvidenceSlot, kReadDelay};
+    Publication published_, published_before_;  // the last two
+    agreement::SlotQuery phases_query_, evidence_query_;
+    Publication queried_publication_;  // that evidence_query_ is for
     std::optional<View> view_;
-    bool view_is_new_ = false;
+    bool is_view_new_ = false;
     Pooled pooled_;
-    std::uint64_t calls_ = 0;
+    std::uint64_t counter_requests_ = 0;
 };
 
 }  // namespace linnetlead::traffic
--- a/src/traffic/router.h
+++ b/src/traffic/router.h
@@ -1,5 +1,6 @@
-// The routes of one gateway: which pool each endpoint is in, which pools each call may go to, and the move
-// under way. Decides without I/O; what it counts and tells goes out through what it is given.
+// Routes the requests of one gateway: assigns endpoints to pools, selects the pools that each request may go
+// to, and runs the current rollout. The request manager calls it through proxy::RoutingPort; the server
+// configures it. It does no I/O itself: counts and messages go out through callbacks.
 #pragma once
 
 #include <functional>
@@ -16,16 +17,16 @@
 
 namespace linnetlead::traffic {
 
-class Router final : public proxy::RoutingPort, private Counting {
+class Router final : public proxy::RoutingPort, private GroupChannel {
 public:
     using PoolSet = policy::PoolSet;
     struct Outside {
         std::function<void(const std::string& name, double amount, Duration life)> count;
         std::function<void(const Event&)> event;
-        std::function<void(const std::string& text)> tell_peers;  // none: there is no way to them
-        // Endpoints that are in other pools now, for RequestManager::marked.
+        std::function<void(const std::string& text)> tell_peers;  // empty: no datagrams to the others
+        // Endpoints whose pools have changed, for RequestManager::marked.
         std::function<void(std::vector<policy::EndpointInfo>)> marked;
-        // Of the accord's and of the endpoints' health; none: there is none.
+        // The next three belong to the agreement and to endpoint health; empty: neither is configured.
         std::function<bool(Timestamp now, const std::string& name, policy::CounterStatus status,
                            double total)>
             counted;
@@ -37,19 +38,19 @@
     };
     Router(const policy::Settings& site, std::uint64_t seed, Outside outside);
 
-    // At start, and whenever the operators' file has changed.
+    // Call it at start and after each change of the operators' file.
     void configure(Timestamp now, RoutingSettings settings);
-    // The pool that an account's or a class's calls go to first, where there are too many routes for the
-    // settings. Nothing: they go to all.
+    // Looks up the pool that the requests of an account or class go to first, if the settings have no route
+    // for it; used where there are too many routes for the settings. Empty: all pools.
     using RouteOf = std::function<std::optional<std::string>(std::string_view name)>;
-    void look_up_in(RouteOf routes) { more_routes_ = std::move(routes); }
+    void look_up_in(RouteOf routes) { route_lookup_ = std::move(routes); }
     void tick(Timestamp now);
-    // Acts on what the versions before and after allow alike: nothing goes to a move's new pool, and no
-    // route is followed.
-    void fence(bool on) { fenced_ = on; }
-    // These get what no other can take.
+    // While fenced, the router does only what both the old and the new version of the settings allow: no
+    // request goes to the new pool of a rollout, and no route applies.
+    void fence(bool on) { is_fenced_ = on; }
+    // These endpoints get a request only if no other can take it.
     void set_aside(const std::unordered_set<proxy::EndpointId>& endpoints);
-    // These are in a set of their own, which calls may be told to leave out.
+    // These endpoints form a pool set of their own, `bit`, which requests can exclude.
     void set_apart(const std::unordered_set<proxy::EndpointId>& endpoints, PoolSet bit);
 
     void plans_added(const std::vector<policy::RatePlanSettings>& more) override;
@@ -64,57 +65,65 @@
                policy::Outcome outcome, Duration latency) override;
     bool counted(Timestamp now, const std::string& name, policy::CounterStatus status, double total) override;
 
-    // What another gateway's tell_peers() said.
+    // Handles a message that another gateway sent through notify_peers().
     void heard(Timestamp now, std::string_view text);
 
-    const CanaryRollout* move() const { return move_.get(); }
+    const CanaryRollout* move() const { return rollout_.get(); }
     std::string pool_of(const proxy::EndpointId& endpoint) const;
 
 private:
-    struct Known {
+    struct RoutedEndpoint {
         policy::EndpointInfo entry;
-        std::size_t pool = 0;  // 0: of none; else its number in the file, from 1
-        bool aside = false, apart = false;
+        std::size_t pool = 0;  // number in the settings, from 1; 0: in no pool
+        bool is_set_aside = false, is_set_apart = false;
     };
-    // A mark: the move's generation, and what the call was meant for or its attempt went to.
-    enum Meant : std::uint32_t { kForNothing, kForSource, kForTarget };
-    std::uint32_t choose(Timestamp now, policy::Request& request);
-    // The number of the pool that the call goes to first; 0: there is no route.
-    std::size_t routed(const policy::Request& request) const;
+    // A mark combines the rollout's generation with the side that a request was assigned to.
+    enum Assignment : std::uint32_t { kNotInRollout, kToSource, kToTarget };
+    static constexpr std::uint32_t kAssignmentBits = 2;
+    static constexpr std::uint32_t kAssignmentMask = 3;
+    std::uint32_t select_pools(Timestamp now, policy::Request& request);
+    // The number of the pool that the request goes to first by a route; 0: no route applies.
+    std::size_t routed_pool(const policy::Request& request) const;
     std::optional<std::string> route_of(const std::string& name) const;
-    std::uint32_t mark(Meant meant) const { return generation_ << 2 | meant; }
+    std::uint32_t make_mark(Assignment assignment) const {
+        return generation_ << kAssignmentBits | assignment;
+    }
 
     void count(const std::string& name, double amount, Duration life) override;
-    void tell_peers(const std::string& text) override;
-    std::size_t place(const policy::EndpointInfo& entry) const;
+    void notify_peers(const std::string& text) override;
+    std::size_t find_pool(const policy::EndpointInfo& entry) const;
     PoolSet bit(std::size_t pool) const { return PoolSet{1} << pool; }
-    // Beside the pools, of which there are 29 at most.
-    static constexpr PoolSet kAside = PoolSet{1} << 31;
-    PoolSet pools_of(const Known& endpoint) const {
-        return endpoint.aside ? kAside : endpoint.apart ? apart_bit_ : bit(endpoint.pool);
+    // Above the bits of the pools, of which there are at most 29.
+    static constexpr PoolSet kSetAsideBit = PoolSet{1} << 31;
+    PoolSet pools_of(const RoutedEndpoint& endpoint) const {
+        return endpoint.is_set_aside   ? kSetAsideBit
+               : endpoint.is_set_apart ? set_apart_bit_
+                                       : bit(endpoint.pool);
     }
-    void mark(const std::unordered_set<proxy::EndpointId>& endpoints, bool Known::*what);
-    std::size_t number_of(const std::string& pool) const;
-    void tell_endpoints(Timestamp now);
-    void start(Timestamp now, const RolloutSettings& settings);
-    bool is_for(const policy::Request& request) const;
+    // Sets a flag of exactly these endpoints and reports those whose pools have changed.
+    void update_flag(const std::unordered_set<proxy::EndpointId>& endpoints, bool RoutedEndpoint::*flag);
+    std::size_t pool_number(const std::string& name) const;
+    void update_rollout_endpoints(Timestamp now);
+    void start_rollout(Timestamp now, const RolloutSettings& settings);
+    // Whether the rollout covers the class and plan of the request.
+    bool is_in_scope(const policy::Request& request) const;
 
     policy::Settings site_;
     std::uint64_t seed_;
     Outside outside_;
     std::mt19937_64 random_;
     RoutingSettings settings_;
-    RouteOf more_routes_;                                     // none: all are in the settings
-    std::unordered_map<proxy::EndpointId, Known> endpoints_;  // as long as the list
-    std::unique_ptr<CanaryRollout> move_;
-    std::uint32_t generation_ = 0;
-    std::vector<std::string> plan_names_;  // of each plan that the decision module has, by its number
-    std::vector<bool> classes_, plans_;    // by number: whether the move is for it
-    std::size_t source_ = 0, target_ = 0;
-    bool fenced_ = false;
-    std::unordered_set<proxy::EndpointId> aside_, apart_;
-    PoolSet apart_bit_ = 0;
-    bool others_serve_ = false;  // some endpoint outside the new pool may be sent to
+    RouteOf route_lookup_;  // empty: all routes are in the settings
+    std::unordered_map<proxy::EndpointId, RoutedEndpoint> endpoints_;
+    std::unique_ptr<CanaryRollout> rollout_;
+    std::uint32_t generation_ = 0;         // of the rollout; changes when one starts or is removed
+    std::vector<std::string> plan_names_;  // by plan number of the decision module
+    std::vector<bool> class_in_scope_, plan_in_scope_;  // of the rollout, by number
+    std::size_t source_ = 0, target_ = 0;               // pool numbers of the rollout
+    bool is_fenced_ = false;
+    std::unordered_set<proxy::EndpointId> set_aside_, set_apart_;
+    PoolSet set_apart_bit_ = 0;
+    bool others_serve_ = false;  // an endpoint outside the new pool is in service
     std::uint64_t account_salt_ = 0;
 };
 
--- a/src/traffic/routing_settings.cpp
+++ b/src/traffic/routing_settings.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Wrong {  // within this file only
+struct InvalidSetting {  // thrown and caught within this file
     operator_config::Position at;
     std::string what;
 };
@@ -19,23 +19,23 @@
     return std::find(items.begin(), items.end(), item) != items.end();
 }
 
-std::vector<std::string> texts(const Value& of, const char* name) {
-    std::vector<std::string> made;
+std::vector<std::string> read_strings(const Value& of, const char* name) {
+    std::vector<std::string> strings;
     if (const Value* list = of.find(name)) {
-        for (const Value& item : list->items) made.push_back(item.text);
+        for (const Value& item : list->items) strings.push_back(item.text);
     }
-    return made;
+    return strings;
 }
 
-// No endpoint can be in both: one of the lists keeps them apart.
+// Whether the lists are disjoint, so that no endpoint can match both.
 template <typename Item>
-bool apart(const std::vector<Item>& a, const std::vector<Item>& b) {
+bool are_disjoint(const std::vector<Item>& a, const std::vector<Item>& b) {
     return !a.empty() && !b.empty() &&
            std::none_of(a.begin(), a.end(), [&](const Item& item) { return contains(b, item); });
 }
-bool apart(const Pool& a, const Pool& b) {
-    return apart(a.kinds, b.kinds) || apart(a.zones, b.zones) || apart(a.ids, b.ids) ||
-           apart(a.cells, b.cells);
+bool are_disjoint(const Pool& a, const Pool& b) {
+    return are_disjoint(a.kinds, b.kinds) || are_disjoint(a.zones, b.zones) || are_disjoint(a.ids, b.ids) ||
+           are_disjoint(a.cells, b.cells);
 }
 
 bool is_account(const std::string& text) {
@@ -53,7 +53,8 @@
             for (const Value& pool : pools->items) settings.pools.push_back(read_pool(pool, settings.pools));
         }
         if (const Value* moves = document_.find("moves")) {
-            for (const Value& move : moves->items) settings.moves.push_back(read_move(move, settings.pools));
+            for (const Value& rollout : moves->items)
+                settings.moves.push_back(read_rollout(rollout, settings.pools));
         }
         if (const Value* routes = document_.find("routes")) {
             for (const Value& route : routes->items) read_route(route, settings);
@@ -62,17 +63,18 @@
     }
 
 private:
-    void known(const Value& of, const char* name, const std::vector<std::string>& all, const char* what) {
+    void check_names(const Value& of, const char* name, const std::vector<std::string>& allowed,
+                     const char* what) {
         const Value* list = of.find(name);
-        if (!list || !site_ || all.empty()) return;
+        if (!list || !site_ || allowed.empty()) return;
         for (const Value& item : list->items) {
-            if (!contains(all, item.text)) {
-                throw Wrong{item.at, std::string("there is no ") + what + " '" + item.text + "'"};
+            if (!contains(allowed, item.text)) {
+                throw InvalidSetting{item.at, std::string("there is no ") + what + " '" + item.text + "'"};
             }
         }
     }
 
-    // Plans of the operators' own schedule, which stands in the same document.
+    // Plans of the plan schedule in the same document.
     std::vector<std::string> scheduled_plans() const {
         std::vector<std::string> names;
         if (const Value* plans = document_.find("plans")) {
@@ -81,36 +83,36 @@
         return names;
     }
 
-    Pool read_pool(const Value& from, const std::vector<Pool>& before) {
+    Pool read_pool(const Value& from, const std::vector<Pool>& pools) {
         Pool pool;
         pool.name = from.find("name")->text;
-        for (const Pool& other : before) {
+        for (const Pool& other : pools) {
             if (other.name == pool.name) {
-                throw Wrong{from.at, "there is a pool '" + pool.name + "' already"};
+                throw InvalidSetting{from.at, "there is a pool '" + pool.name + "' already"};
             }
         }
-        pool.kinds = texts(from, "kinds");
-        pool.zones = texts(from, "zones");
-        pool.ids = texts(from, "ids");
+        pool.kinds = read_strings(from, "kinds");
+        pool.zones = read_strings(from, "zones");
+        pool.ids = read_strings(from, "ids");
         if (const Value* cells = from.find("cells")) {
             for (const Value& cell : cells->items) pool.cells.push_back(static_cast<int>(cell.number));
         }
         if (pool.kinds.empty() && pool.zones.empty() && pool.ids.empty() && pool.cells.empty()) {
-            throw Wrong{from.at,
-                        "the pool '" + pool.name + "' names no workers: give kinds, zones, cells or ids"};
+            throw InvalidSetting{
+                from.at, "the pool '" + pool.name + "' names no workers: give kinds, zones, cells or ids"};
         }
         if (site_) {
-            known(from, "kinds", site_->kinds, "kind");
-            known(from, "zones", site_->zones, "zone");
+            check_names(from, "kinds", site_->kinds, "kind");
+            check_names(from, "zones", site_->zones, "zone");
         }
         return pool;
     }
 
-    const Pool& pool_of(const Value& move, const char* name, const std::vector<Pool>& pools) {
-        const Value& named = *move.find(name);
+    const Pool& pool_of(const Value& rollout, const char* name, const std::vector<Pool>& pools) {
+        const Value& named = *rollout.find(name);
         const auto at = std::find_if(pools.begin(), pools.end(),
                                      [&](const Pool& pool) { return pool.name == named.text; });
-        if (at == pools.end()) throw Wrong{named.at, "there is no pool '" + named.text + "'"};
+        if (at == pools.end()) throw InvalidSetting{named.at, "there is no pool '" + named.text + "'"};
         return *at;
     }
 
@@ -121,27 +123,28 @@
             site_ && std::any_of(site_->settings.classes.begin(), site_->settings.classes.end(),
                                  [&](const auto& traffic_class) { return traffic_class.name == name.text; });
         if (site_ && !is_class && !is_account(name.text)) {
-            throw Wrong{name.at,
-                        "a route is an account's, 16 hex digits, or a class's, not '" + name.text + "'"};
+            throw InvalidSetting{
+                name.at, "a route is an account's, 16 hex digits, or a class's, not '" + name.text + "'"};
         }
         if (std::none_of(settings.pools.begin(), settings.pools.end(),
                          [&](const Pool& one) { return one.name == pool.text; })) {
-            throw Wrong{pool.at, "there is no pool '" + pool.text + "'"};
+            throw InvalidSetting{pool.at, "there is no pool '" + pool.text + "'"};
         }
         if (!settings.routes.emplace(name.text, pool.text).second) {
-            throw Wrong{name.at, "there is a route of '" + name.text + "' already"};
+            throw InvalidSetting{name.at, "there is a route of '" + name.text + "' already"};
         }
     }
 
     std::vector<Stage> read_stages(const Value& from) {
         std::vector<Stage> stages;
-        double last = 0;
+        double last_share = 0;
         for (const Value& one : from.find("stages")->items) {
             Stage stage;
             const Value& share = *one.find("share");
             stage.share = operator_config::share_of(share);
-            if (stage.share <= last) throw Wrong{share.at, "the shares of the stages must rise"};
-            last = stage.share;
+            if (stage.share <= last_share)
+                throw InvalidSetting{share.at, "the shares of the stages must rise"};
+            last_share = stage.share;
             if (const Value* hold = one.find("hold")) stage.hold = operator_config::time_of(*hold);
             stages.push_back(stage);
         }
@@ -150,14 +153,15 @@
 
     Tolerance read_tolerance(const Value& from) {
         Tolerance tolerance;
-        const auto above = [&](const char* name, double& into) {
+        const auto read_above_one = [&](const char* name, double& into) {
             if (const Value* value = from.find(name)) into = 1 + operator_config::share_of(*value);
         };
-        above("slower", tolerance.slower);
-        above("shown", tolerance.shown);
+        read_above_one("slower", tolerance.slower);
+        read_above_one("shown", tolerance.shown);
         if (tolerance.shown <= tolerance.slower) {
             const Value* shown = from.find("shown");
-            throw Wrong{(shown ? *shown : *from.find("slower")).at, "'shown' must lie above 'slower'"};
+            throw InvalidSetting{(shown ? *shown : *from.find("slower")).at,
+                                 "'shown' must lie above 'slower'"};
         }
         if (const Value* failures = from.find("failures")) tolerance.failures = failures->number;
         if (const Value* gross = from.find("gross")) tolerance.gross = operator_config::share_of(*gross);
@@ -172,47 +176,47 @@
         std::vector<std::string> classes, plans = scheduled_plans();
         for (const auto& traffic_class : site_->settings.classes) classes.push_back(traffic_class.name);
         for (const auto& plan : site_->settings.plans) plans.push_back(plan.name);
-        known(from, "classes", classes, "class");
-        known(from, "plans", plans, "plan");
+        check_names(from, "classes", classes, "class");
+        check_names(from, "plans", plans, "plan");
     }
 
-    RolloutSettings read_move(const Value& from, const std::vector<Pool>& pools) {
-        RolloutSettings move;
-        move.name = from.find("name")->text;
+    RolloutSettings read_rollout(const Value& from, const std::vector<Pool>& pools) {
+        RolloutSettings rollout;
+        rollout.name = from.find("name")->text;
         const Pool& source = pool_of(from, "source", pools);
         const Pool& target = pool_of(from, "target", pools);
         const operator_config::Position at = from.find("target")->at;
-        if (&source == &target) throw Wrong{at, "a move onto itself"};
-        if (!apart(source, target)) {
-            throw Wrong{at, "the pools '" + source.name + "' and '" + target.name +
-                                "' overlap: no list keeps their workers apart"};
-        }
-        move.source = source.name;
-        move.target = target.name;
-        move.classes = texts(from, "classes");
-        move.plans = texts(from, "plans");
+        if (&source == &target) throw InvalidSetting{at, "a move onto itself"};
+        if (!are_disjoint(source, target)) {
+            throw InvalidSetting{at, "the pools '" + source.name + "' and '" + target.name +
+                                         "' overlap: no list keeps their workers apart"};
+        }
+        rollout.source = source.name;
+        rollout.target = target.name;
+        rollout.classes = read_strings(from, "classes");
+        rollout.plans = read_strings(from, "plans");
         check_scope(from);
-        move.stages = read_stages(from);
-        const auto time = [&](const char* name, Duration& into) {
+        rollout.stages = read_stages(from);
+        const auto read_time = [&](const char* name, Duration& into) {
             if (const Value* value = from.find(name)) into = operator_config::time_of(*value);
         };
-        time("step", move.step);
-        time("lease", move.lease);
-        time("deadline", move.deadline);
-        if (const Value* run = from.find("run")) move.run = static_cast<int>(run->number);
-        move.tolerance = read_tolerance(from);
-        if (const Value* headroom = from.find("headroom")) move.headroom = headroom->number;
-        const auto is = [&](const char* name, const char* word) {
+        read_time("step", rollout.step);
+        read_time("lease", rollout.lease);
+        read_time("deadline", rollout.deadline);
+        if (const Value* run = from.find("run")) rollout.run = static_cast<int>(run->number);
+        rollout.tolerance = read_tolerance(from);
+        if (const Value* headroom = from.find("headroom")) rollout.headroom = headroom->number;
+        const auto has_word = [&](const char* name, const char* word) {
             const Value* value = from.find(name);
             return value && value->text == word;
         };
-        move.by_account = is("by", "account");
-        move.undo_at_deadline = !is("at_deadline", "hold");
-        move.keep_at_end = !is("at_end", "return");
-        move.order = is("order", "pause")   ? Order::kPause
-                     : is("order", "abort") ? Order::kAbort
-                                            : Order::kRun;
-        return move;
+        rollout.by_account = has_word("by", "account");
+        rollout.undo_at_deadline = !has_word("at_deadline", "hold");
+        rollout.keep_at_end = !has_word("at_end", "return");
+        rollout.order = has_word("order", "pause")   ? Order::kPause
+                        : has_word("order", "abort") ? Order::kAbort
+                                                     : Order::kRun;
+        return rollout;
     }
 
     const Value& document_;
@@ -230,8 +234,8 @@
                                                     const config::Site* site) {
     try {
         return Reader(document, site).read();
-    } catch (const Wrong& wrong) {
-        return Problem{file, wrong.at, wrong.what};
+    } catch (const InvalidSetting& invalid) {
+        return Problem{file, invalid.at, invalid.what};
     }
 }
 
--- a/src/traffic/routing_settings.h
+++ b/src/traffic/routing_settings.h
@@ -1,4 +1,5 @@
-// What the operators' document says of pools and moves, checked for what a schema cannot say.
+// Reads pools, rollouts and routes from the operators' document, and checks what its schema cannot express.
+// The server calls it for the operators' file and for distributed settings.
 #pragma once
 
 #include <map>
@@ -12,7 +13,7 @@
 
 namespace linnetlead::traffic {
 
-// An endpoint belongs to the first pool whose every list names it; an empty list says nothing.
+// An endpoint belongs to the first pool of which every non-empty list contains it.
 struct Pool {
     std::string name;
     std::vector<std::string> kinds, zones, ids;
@@ -23,13 +24,14 @@
 
 struct RoutingSettings {
     std::vector<Pool> pools;
-    std::vector<RolloutSettings> moves;  // one at most
-    // The pool that calls go to first, by their account (16 hex digits) or else by their class's name.
+    std::vector<RolloutSettings> moves;  // at most one
+    // The pool that requests go to first, by account (16 hex digits) or by the name of the traffic class; the
+    // account takes precedence.
     std::map<std::string, std::string> routes;
 };
 
-// `site`: the platform's settings, whose classes, kinds and zones are the only ones, and whose plans are the
-// only ones beside those of the document's own schedule; none: not checked.
+// `site`: the platform's settings. Classes, kinds and zones must be defined there, and plans there or in the
+// document's plan schedule. Null: names are not checked.
 std::variant<RoutingSettings, operator_config::Problem> read_routing(const operator_config::Value& document,
                                                                      const std::string& file,
                                                                      const config::Site* site);
