--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -222,9 +222,9 @@
 TEST_P(BadPool, IsRolledBackOnAllGatewaysWithAllRequestsAnswered) {
     static const std::vector<PoolFault> kPoolFaults{
         {"twice as slow", with([](auto& f) { f.slow = 2; }), 40s},
-        {"fast errors", with([](auto& f) { f.errors = 0.7; }), 20s},
-        {"turns all away", with([](auto& f) { f.turns_away = true; }), 25s},
-        {"silent", with([](auto& f) { f.silent = true; }), 25s},
+        {"fails fast", with([](auto& f) { f.errors = 0.7; }), 20s},
+        {"rejects all requests", with([](auto& f) { f.turns_away = true; }), 25s},
+        {"does not answer", with([](auto& f) { f.silent = true; }), 25s},
         {"slow under load only", with([](auto& f) { f.cores = 1, f.speed = 1.3, f.slow_under_load = 1; }),
          4min},
     };
--- a/tests/tier_test.cpp
+++ b/tests/tier_test.cpp
@@ -45,11 +45,11 @@
         }
     }
     json state(int gateway) {
-        test_support::SocketPeer caller = test_support::connect_to(platform.second_address(gateway));
-        caller.write("GET /v1/accord HTTP/1.1\r\nHost: x\r\n\r\n");
-        if (!platform.run_until([&] { return caller.is_over(); }, 2s)) return {};
-        const auto body = caller.got.find("\r\n\r\n");
-        return body == std::string::npos ? json() : json::parse(caller.got.substr(body), nullptr, false);
+        test_support::SocketPeer client = test_support::connect_to(platform.second_address(gateway));
+        client.write("GET /v1/accord HTTP/1.1\r\nHost: x\r\n\r\n");
+        if (!platform.run_until([&] { return client.is_over(); }, 2s)) return {};
+        const auto body = client.got.find("\r\n\r\n");
+        return body == std::string::npos ? json() : json::parse(client.got.substr(body), nullptr, false);
     }
     // The version that a gateway last logged as active, and when.
     std::pair<int, proxy::Timestamp> active_version(int gateway, proxy::Timestamp since = {}) const {
@@ -236,9 +236,9 @@
     group.platform.list_late("w1", FakePlatform::Stage::kTerminating, 0);
     group.platform.run_for(3s);  // the auditor counts requests later than 0.55 s after the drain
     EXPECT_EQ(group.platform.audit.after_drain, 0u);
-    const auto calls = group.platform.calls_of("w1");
+    const auto requests = group.platform.calls_of("w1");
     group.platform.list_late("w1", FakePlatform::Stage::kInService, 0);  // the drain is cancelled
-    EXPECT_TRUE(group.platform.run_until([&] { return group.platform.calls_of("w1") > calls + 20; }, 5s));
+    EXPECT_TRUE(group.platform.run_until([&] { return group.platform.calls_of("w1") > requests + 20; }, 5s));
     group.finish();
 }
 
@@ -276,9 +276,9 @@
             return true;
         },
         20s));
-    const auto calls = group.platform.calls_of("w2"), all = group.platform.audit.asked;
+    const auto requests = group.platform.calls_of("w2"), all_requests = group.platform.audit.asked;
     group.platform.run_for(2s);
-    EXPECT_LT(group.platform.calls_of("w2") - calls, (group.platform.audit.asked - all) / 10)
+    EXPECT_LT(group.platform.calls_of("w2") - requests, (group.platform.audit.asked - all_requests) / 10)
         << "its share was a quarter before";
     group.platform.endpoint("w2").figures.slow = 1;
     const proxy::Timestamp cut_at = group.platform.now();
