--- a/src/traffic/canary_rollout.h
+++ b/src/traffic/canary_rollout.h
@@ -41,8 +41,8 @@
     double headroom = 1.5;
     Order order = Order::kRun;
 
-    // Identifies the rollout on all gateways. Hash of its name, run, pools, scope and shares; settings that
-    // may change while it runs are not part of it.
+    // Identifies the rollout on all gateways: a hash of its name, run, pools, classes, plans and shares. The
+    // order, which may change while it runs, is not part of it.
     std::string id() const;
 };
 
@@ -81,8 +81,8 @@
     void update_endpoints(Timestamp now, const std::vector<SlowStartBudget::Endpoint>& source,
                           const std::vector<SlowStartBudget::Endpoint>& target);
 
-    // Decides whether a request goes to the new pool. `draw` lies in [0, 1), and is random per request or
-    // derived from the account.
+    // Decides whether a request goes to the new pool, and then takes its work from the slow-start budget.
+    // `draw` lies in [0, 1), and is random per request or derived from the account.
     bool selects_target(Timestamp now, int traffic_class, double draw);
     // Records a first attempt of any request that was sent to the old pool.
     void record_sent_to_source(Timestamp now, int traffic_class) {
