--- a/src/metering/balance_lease.cpp
+++ b/src/metering/balance_lease.cpp
@@ -12,27 +12,27 @@
 using namespace std::chrono_literals;
 
 constexpr Duration kNameLifetime = 60s;  // the longest that the counter keeps a name
-// Before an epoch's end nothing is added to its names: a late add would be missed by those who have read the
-// total.
+// No add to an epoch's names this close to its end: gateways that have read the final total would miss a late
+// add.
 constexpr Duration kQuietBeforeEpochEnd = 250ms;
-// After an epoch's end its totals are final: all gateways' clocks have passed it.
+// An epoch's totals are final this long after its end, when all gateways' clocks have passed it.
 constexpr Duration kCloseAfter = 350ms;
-// After an epoch's start, when those who know the sum have published it.
-constexpr Duration kAskSumAfter = 900ms;
+// After an epoch's start, by when the gateways that know the sum have published it.
+constexpr Duration kReadSumAfter = 900ms;
 constexpr Duration kRetryAfter = 200ms;
 constexpr Duration kReadInterval = 1s;
-constexpr Duration kIdleReadInterval = 5s;  // while nobody asks for units
-constexpr double kDemandWindowS = 2;        // the demand that a lease holds units for
-constexpr double kNoticeableUnits = 0.05;   // of demand; less is none
-// Shares of the target: below the first, units are reserved; above the last, the rest is returned.
+constexpr Duration kIdleReadInterval = 5s;  // without demand
+constexpr double kDemandWindowS = 2;        // a lease holds units for the demand of this window
+constexpr double kMinDemandUnits = 0.05;    // less demand counts as none
+// Shares of the target: below kReserveBelow units are reserved; above kReturnAbove the surplus is returned.
 constexpr double kReserveBelow = 0.5;
 constexpr double kReserveBelowBeforeStart = 0.95;
 constexpr double kReturnAbove = 1.5;
 constexpr double kRateBurstS = 2;  // seconds of the balance's rate that may be used at once
-// Of the target: what one reservation asks for, which is also what a lost reply may cost.
+// Share of the target that one reservation asks for; a lost reply can cost that much.
 constexpr double kReservationShare = 0.25;
-constexpr double kRounding = 1e-6;         // of sums of units, which are whole numbers on the counter
-constexpr double kCounterTolerance = 0.5;  // a total that falls by more has been reset
+constexpr double kRounding = 1e-6;         // tolerance for sums of units, which are whole on the counter
+constexpr double kCounterTolerance = 0.5;  // a larger decrease of a total means that the counter was reset
 
 double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
@@ -40,8 +40,8 @@
 
 BalanceLease::BalanceLease(PrepaidBalance balance, int gateways, double max_units, CounterAdd add)
     : balance_(std::move(balance)), gateways_(gateways), max_units_(max_units), add_(std::move(add)) {
-    // Names on the counter are 64 bytes at most and ids 40. A balance that begins at another instant is
-    // another one.
+    // Names on the counter have 64 bytes at most, ids 40. The start is part of the name, because a balance
+    // with another start is another balance.
     char begins[24];
     std::snprintf(begins, sizeof(begins), ".%llx", static_cast<long long>(balance_.since / 1s));
     id_ = balance_.id + begins;
@@ -57,21 +57,21 @@
     add_(full_name, amount, kNameLifetime);
 }
 
-// First the sum, then the number of publishers: a reader between the two sees too much reserved, never too
+// Publishes the sum before the number of publishers: a reader in between sees too much reserved, never too
 // little.
 void BalanceLease::publish_sum() {
     add(Operation::kPublishSum, Name::kSum, epoch_, std::max(0.0, std::round(reserved_before_epoch_)));
 }
 
-// What the owner could still use at the balance's rate is the owner's; the rest may be lent. It grows no
-// faster than time passes, so lending never begins with a jump.
+// What the owner could still use at max_rate is kept for the owner; the rest may be lent. The rest grows no
+// faster than max_rate, so lending never starts with a jump.
 double BalanceLease::lendable(Timestamp now) const {
     if (!balance_.lend || balance_.max_rate <= 0 || !active(now)) return 0;
-    const double still = balance_.max_rate * (seconds(balance_.until - now) + kRateBurstS);
-    return std::max(0.0, unreserved() - still);
+    const double usable_by_owner = balance_.max_rate * (seconds(balance_.until - now) + kRateBurstS);
+    return std::max(0.0, unreserved() - usable_by_owner);
 }
 
-void BalanceLease::note_demand(Timestamp now, double units) {
+void BalanceLease::record_demand(Timestamp now, double units) {
     demand_ = demand(now) + units;
     demand_at_ = now;
 }
@@ -84,15 +84,15 @@
     return lent_demand_ * std::exp(-seconds(now - lent_demand_at_) / kDemandWindowS);
 }
 
-// The units that should be available here: as the balance begins, half of what is left divided by the
-// gateways; later what is asked for here.
+// The units that should be available at this gateway: at the start of the balance its share of half of what
+// is left; later what the local demand needs.
 double BalanceLease::target(Timestamp now) const {
     const double part = std::max(0.0, unreserved() + available_) / (2 * gateways_);
-    const bool begins = now < balance_.since + std::chrono::duration_cast<Duration>(
-                                                   std::chrono::duration<double>(kDemandWindowS));
+    const bool starting = now < balance_.since + std::chrono::duration_cast<Duration>(
+                                                     std::chrono::duration<double>(kDemandWindowS));
     const double recent = demand(now);
-    if (begins) return std::max(part, recent);
-    if (recent < kNoticeableUnits) return 0;
+    if (starting) return std::max(part, recent);
+    if (recent < kMinDemandUnits) return 0;
     return std::min(recent, std::max(part, max_units_)) + max_units_;
 }
 
@@ -102,7 +102,8 @@
     advance_epoch(now, epoch);
     if (epoch_ != epoch) return;
     read_totals(now);
-    // A silent counter is asked for totals only: what a lost add may have reserved is lost to everybody.
+    // While the counter does not reply, only totals are read: units of a lost reservation are usable by
+    // nobody.
     if (counter_silent_ || kEpochLength * (epoch + 1) - now < kQuietBeforeEpochEnd) return;
     reserve(now);
     return_surplus(now);
@@ -110,7 +111,7 @@
 }
 
 void BalanceLease::read_totals(Timestamp now) {
-    const bool in_demand = demand(now) >= kNoticeableUnits || now < balance_.since;
+    const bool in_demand = demand(now) >= kMinDemandUnits || now < balance_.since;
     const Duration interval = counter_silent_ ? kRetryAfter : in_demand ? kReadInterval : kIdleReadInterval;
     if (reading_ || now - last_read_ < interval) return;
     reading_ = true;
@@ -141,27 +142,30 @@
 }
 
 void BalanceLease::reserve_to_lend(Timestamp now) {
-    const double free = lendable(now);
-    const double borrowed = lent_demand(now);
-    if (reserving_to_lend_ || borrowed <= kNoticeableUnits || free < 1 || lent_available_ >= borrowed) return;
-    // A part for each gateway that may want some.
-    const double part = std::ceil(std::min(free / gateways_, borrowed - lent_available_ + max_units_));
+    const double lendable_units = lendable(now);
+    const double demand_of_borrowers = lent_demand(now);
+    if (reserving_to_lend_ || demand_of_borrowers <= kMinDemandUnits || lendable_units < 1 ||
+        lent_available_ >= demand_of_borrowers)
+        return;
+    // Divided by the gateways, since each may need a share.
+    const double part =
+        std::ceil(std::min(lendable_units / gateways_, demand_of_borrowers - lent_available_ + max_units_));
     reserving_to_lend_ = true;
     add(Operation::kReserveToLend, Name::kReserved, epoch_, part);
 }
 
-// Goes from epoch to epoch; a gateway that has just started learns the sum from those that were there.
+// Moves to the next epoch. A gateway that has just started reads the sum that the others have published.
 void BalanceLease::advance_epoch(Timestamp now, std::int64_t epoch) {
     if (epoch_ >= epoch || advancing_) return;
     const std::int64_t first = (balance_.since - kReserveAhead) / kEpochLength;
-    if (epoch <= first) {  // nobody can have reserved anything yet
+    if (epoch <= first) {  // no gateway can have reserved anything yet
         epoch_ = epoch;
         reserved_before_epoch_ = reserved_in_epoch_ = returned_in_epoch_ = 0;
         return;
     }
     const Duration since_start = now - kEpochLength * epoch;
     if (epoch_ < 0 && epoch - 1 <= first) {
-        // The epoch before was the first, and the counter still has its totals.
+        // The preceding epoch was the first, and the counter still has its totals.
         epoch_ = first;
         reserved_before_epoch_ = reserved_in_epoch_ = returned_in_epoch_ = 0;
     }
@@ -176,14 +180,14 @@
         add(Operation::kCloseReturned, Name::kReturned, epoch_, 0);
         return;
     }
-    if (since_start < kAskSumAfter) return;
+    if (since_start < kReadSumAfter) return;
     last_advance_ = now;
     advancing_ = true;
     published_sum_.reset();
-    add(Operation::kAskSum, Name::kSum, epoch, 0);
+    add(Operation::kReadSum, Name::kSum, epoch, 0);
 }
 
-// Both totals of the old epoch are known, and nobody adds to them any more.
+// Called once both final totals of the old epoch are known.
 void BalanceLease::close_epoch() {
     reserved_before_epoch_ = reserved_before_epoch_ + std::max(*closing_reserved_, reserved_in_epoch_) -
                              std::max(*closing_returned_, returned_in_epoch_);
@@ -195,27 +199,27 @@
     publish_sum();
 }
 
-void BalanceLease::on_closing_total(const PendingAdd& made, bool ok, double total) {
-    if (!ok || made.epoch != epoch_) {
+void BalanceLease::on_closing_total(const PendingAdd& pending, bool ok, double total) {
+    if (!ok || pending.epoch != epoch_) {
         advancing_ = false;
         return;
     }
-    (made.operation == Operation::kCloseReserved ? closing_reserved_ : closing_returned_) = total;
+    (pending.operation == Operation::kCloseReserved ? closing_reserved_ : closing_returned_) = total;
     if (closing_reserved_ && closing_returned_) close_epoch();
 }
 
-// With the number of publishers the sum of what they published becomes the sum.
-void BalanceLease::on_published_count(const PendingAdd& made, bool ok, double total) {
+// The sum is the total of the published values divided by the number of publishers.
+void BalanceLease::on_published_count(const PendingAdd& pending, bool ok, double total) {
     advancing_ = false;
     if (!ok || total < 1 - kCounterTolerance || !published_sum_ || epoch_ >= 0) return;
-    epoch_ = made.epoch;
+    epoch_ = pending.epoch;
     reserved_before_epoch_ = std::ceil(*published_sum_ / std::round(total) - kRounding);
     reserved_in_epoch_ = returned_in_epoch_ = 0;
     last_read_ = {};
 }
 
-// A total that falls shows a counter that has restarted empty; without the guard all units would be granted a
-// second time. What was known before goes on as reserved before the epoch.
+// A decreased total means that the counter has restarted empty; without this check all units would be granted
+// a second time. The totals known so far are then added to reserved_before_epoch_.
 void BalanceLease::observe_total(double& known_total, double total) {
     if (total < known_total - kCounterTolerance) {
         ++counter_resets_;
@@ -226,33 +230,33 @@
     known_total = total;
 }
 
-void BalanceLease::on_reserved(const PendingAdd& made, double total, Timestamp now) {
+void BalanceLease::on_reserved(const PendingAdd& pending, double total, Timestamp now) {
     observe_total(reserved_in_epoch_, total);
-    const double before = reserved_by_all() - made.amount;
+    const double before = reserved_by_all() - pending.amount;
     const double left = std::floor(balance_.units - before + kRounding);
-    const double granted = std::clamp(left, 0.0, made.amount);
-    if (const double surplus = made.amount - granted; surplus > 0 && epoch_ == made.epoch) {
+    const double granted = std::clamp(left, 0.0, pending.amount);
+    if (const double surplus = pending.amount - granted; surplus > 0 && epoch_ == pending.epoch) {
         add(Operation::kReturn, Name::kReturned, epoch_, surplus);
         returning_ = true;
     }
-    // Units reserved to lend that the owner turns out to need go to the owner.
-    const bool lent = made.operation == Operation::kReserveToLend &&
+    // Units reserved to lend go to the owner if the owner can use them after all.
+    const bool lent = pending.operation == Operation::kReserveToLend &&
                       unreserved() >= balance_.max_rate * seconds(balance_.until - now);
     (lent ? lent_available_ : available_) += granted;
 }
 
-void BalanceLease::on_reservation_reply(const PendingAdd& made, bool ok, double total, Timestamp now) {
-    (made.operation == Operation::kReserve ? reserving_ : reserving_to_lend_) = false;
+void BalanceLease::on_reservation_reply(const PendingAdd& pending, bool ok, double total, Timestamp now) {
+    (pending.operation == Operation::kReserve ? reserving_ : reserving_to_lend_) = false;
     if (!ok) {
         ++lost_reservations_;
-    } else if (made.epoch == epoch_) {
-        on_reserved(made, total, now);
-    }  // one of an epoch that has ended is counted there, and its units are given up here
+    } else if (pending.epoch == epoch_) {
+        on_reserved(pending, total, now);
+    }  // else it counts in an epoch that has ended, and this lease gives its units up
 }
 
 bool BalanceLease::charge(Timestamp now, double units) {
     if (!active(now)) return false;
-    note_demand(now, units);
+    record_demand(now, units);
     if (balance_.max_rate > 0) {
         const double gained = rate_tokens_at_ == Timestamp{}
                                   ? balance_.max_rate * kRateBurstS
@@ -286,16 +290,16 @@
 bool BalanceLease::on_counter_reply(Timestamp now, const std::string& name, bool ok, double total) {
     const auto at = pending_.find(name);
     if (at == pending_.end()) return false;
-    const PendingAdd made = at->second.front();
+    const PendingAdd pending = at->second.front();
     at->second.pop_front();
     if (at->second.empty()) pending_.erase(at);
     ok = ok && std::isfinite(total);
     counter_silent_ = !ok;
-    const bool current = made.epoch == epoch_;
-    switch (made.operation) {
+    const bool current = pending.epoch == epoch_;
+    switch (pending.operation) {
         case Operation::kReserve:
         case Operation::kReserveToLend:
-            on_reservation_reply(made, ok, total, now);
+            on_reservation_reply(pending, ok, total, now);
             break;
         case Operation::kReturn:
             returning_ = false;
@@ -310,23 +314,23 @@
             break;
         case Operation::kCloseReserved:
         case Operation::kCloseReturned:
-            on_closing_total(made, ok, total);
+            on_closing_total(pending, ok, total);
             break;
         case Operation::kPublishSum:
-            if (ok) add(Operation::kPublishCount, Name::kPublishers, made.epoch, 1);
+            if (ok) add(Operation::kPublishCount, Name::kPublishers, pending.epoch, 1);
             break;
         case Operation::kPublishCount:
             break;
-        case Operation::kAskSum:
+        case Operation::kReadSum:
             if (!ok) {
                 advancing_ = false;
                 break;
             }
             published_sum_ = total;
-            add(Operation::kAskCount, Name::kPublishers, made.epoch, 0);
+            add(Operation::kReadCount, Name::kPublishers, pending.epoch, 0);
             break;
-        case Operation::kAskCount:
-            on_published_count(made, ok, total);
+        case Operation::kReadCount:
+            on_published_count(pending, ok, total);
             break;
     }
     return true;
--- a/src/metering/balance_lease.h
+++ b/src/metering/balance_lease.h
@@ -1,12 +1,12 @@
-// The lease that one gateway holds on one prepaid balance. All gateways take units from the balance by
-// reservations: an add to a name of the shared counter, whose reply is the total after it, so that all leases
-// together never exceed the balance. Units reserved beyond what is needed are returned by an add to a second
-// name, since a counter's totals only grow.
+// The lease that one gateway holds on one prepaid balance. Each gateway reserves units of the balance by an
+// add to a name of the shared counter. The reply is the total after the add, so that all leases together
+// never exceed the balance. Surplus units are returned by an add to a second name, since a counter's totals
+// only grow.
 //
-// A counter keeps a name for 60 s at most, so reservations are counted in epochs, each with its own names. At
-// the end of an epoch every gateway that knows the sum so far reads the old totals, which nobody adds to any
-// more, and publishes the new sum for gateways that have started since: one name holds the sum of what all
-// publishers wrote, a second one how many they are. Decides only: no I/O, no clock.
+// A counter keeps a name for 60 s at most, so reservations are counted in epochs, each with its own names.
+// After the end of an epoch every gateway that knows the sum so far reads the final totals and publishes the
+// new sum for gateways that have started since: one name holds the sum of the values of all publishers, a
+// second one the number of publishers. The class does no I/O and reads no clock; PrepaidBalances drives it.
 #pragma once
 
 #include <cstdint>
@@ -21,48 +21,48 @@
 
 namespace linnetlead::metering {
 
-// Adds to a name of the shared counter that lives for `lifetime`. Each add ends in one on_counter_reply(),
-// and those of one name in the order they were made.
+// Adds to a name of the shared counter, which keeps it for `lifetime`. Each add results in one
+// on_counter_reply(), and replies to adds of one name come in the order of the adds.
 using CounterAdd = std::function<void(const std::string& name, double amount, Duration lifetime)>;
 
 class BalanceLease {
 public:
-    static constexpr std::string_view kNamePrefix = "rv.";  // of all its names on the counter
+    static constexpr std::string_view kNamePrefix = "rv.";  // of all its names on the shared counter
     static constexpr Duration kEpochLength = std::chrono::seconds(20);
-    // Reservations begin so long before the balance, so that units are available from its first instant.
+    // Reservations start this long before the balance does, so that units are available from its start.
     static constexpr Duration kReserveAhead = std::chrono::seconds(2);
 
-    // `gateways`: how many share the balance. `max_units`: of one request.
+    // `gateways`: the number that share the balance. `max_units`: the most that one request costs.
     BalanceLease(PrepaidBalance balance, int gateways, double max_units, CounterAdd add);
 
-    // New figures of the same balance; what was reserved stays reserved.
+    // Applies changed fields of the same balance; reservations stay.
     void update(const PrepaidBalance& balance) { balance_ = balance; }
     const PrepaidBalance& balance() const { return balance_; }
     bool active(Timestamp now) const { return now >= balance_.since && now < balance_.until; }
 
-    // Reads totals, reserves ahead of need and returns what is not needed; to be called every 50 ms or so.
+    // Reads totals, reserves ahead of demand and returns surplus units; to be called about every 50 ms.
     void tick(Timestamp now);
-    // Charges a request of the balance's owner to the available units. False: they do not suffice, or the
-    // balance's rate is used up.
+    // Charges a request of the balance's owner to the available units. False: there are too few, or the
+    // balance's max_rate is reached.
     bool charge(Timestamp now, double units);
-    // The same for another tenant, from what the owner can no longer use.
+    // Charges a request of another tenant to units that the owner cannot use up.
     bool lend(Timestamp now, double units);
-    // Gives back a charge whose request was never forwarded.
+    // Refunds the charge of a request that was never forwarded.
     void refund(double units, bool lent) { (lent ? lent_available_ : available_) += units; }
-    // The true units of a charged request are known: `difference` more than were charged.
+    // Corrects a charge to the request's true units: `difference` more than were charged.
     void correct(double difference, bool lent) { refund(-difference, lent); }
-    // The reply to an add; `total` is read only where `ok`. False: the name is not this lease's.
+    // Handles the reply to an add; `total` is read only if `ok`. False: the name is not this lease's.
     bool on_counter_reply(Timestamp now, const std::string& name, bool ok, double total);
 
     struct State {
-        bool known = false;                   // what all gateways have reserved
+        bool known = false;                   // the sum that all gateways have reserved is known
         double reserved = 0;                  // by all gateways, net of what was returned
         double available = 0;                 // units here, for the owner
         double lent_available = 0;            // units here, for other tenants
         double charged = 0;                   // units here, so far
         double lent = 0;                      // units here, so far
-        std::uint64_t lost_reservations = 0;  // adds without a reply: their units are lost to everybody
-        std::uint64_t counter_resets = 0;     // seen as totals that fell
+        std::uint64_t lost_reservations = 0;  // adds without a reply, whose units nobody can use
+        std::uint64_t counter_resets = 0;     // detected as totals that decreased
     };
     State state() const;
 
@@ -77,15 +77,15 @@
         kCloseReturned,
         kPublishSum,
         kPublishCount,
-        kAskSum,
-        kAskCount
+        kReadSum,
+        kReadCount
     };
     struct PendingAdd {
         Operation operation{};
         double amount = 0;
         std::int64_t epoch = 0;
     };
-    // The four names of an epoch; the letters are on the wire.
+    // The kinds of names of an epoch; the letters are on the wire.
     enum class Name : char { kReserved = 'c', kReturned = 'r', kSum = 's', kPublishers = 'n' };
 
     std::string counter_name(Name name, std::int64_t epoch) const;
@@ -94,12 +94,12 @@
 
     void advance_epoch(Timestamp now, std::int64_t epoch);
     void close_epoch();
-    void on_closing_total(const PendingAdd& made, bool ok, double total);
-    void on_published_count(const PendingAdd& made, bool ok, double total);
+    void on_closing_total(const PendingAdd& pending, bool ok, double total);
+    void on_published_count(const PendingAdd& pending, bool ok, double total);
 
     void observe_total(double& known_total, double total);
-    void on_reserved(const PendingAdd& made, double total, Timestamp now);
-    void on_reservation_reply(const PendingAdd& made, bool ok, double total, Timestamp now);
+    void on_reserved(const PendingAdd& pending, double total, Timestamp now);
+    void on_reservation_reply(const PendingAdd& pending, bool ok, double total, Timestamp now);
     void read_totals(Timestamp now);
     void reserve(Timestamp now);
     void return_surplus(Timestamp now);
@@ -111,7 +111,7 @@
     double unreserved() const { return balance_.units - reserved_by_all(); }
     double lendable(Timestamp now) const;
     double target(Timestamp now) const;
-    void note_demand(Timestamp now, double units);
+    void record_demand(Timestamp now, double units);
     double demand(Timestamp now) const;
     double lent_demand(Timestamp now) const;
 
@@ -120,9 +120,10 @@
     int gateways_;
     double max_units_;
     CounterAdd add_;
-    std::unordered_map<std::string, std::deque<PendingAdd>> pending_;  // one of each operation at most
+    std::unordered_map<std::string, std::deque<PendingAdd>>
+        pending_;  // by name; at most one of each operation
 
-    std::int64_t epoch_ = -1;  // whose names are used; -1: none yet, the sum is not known
+    std::int64_t epoch_ = -1;  // whose names are in use; -1: none yet, since the sum is unknown
     double reserved_before_epoch_ = 0;
     double reserved_in_epoch_ = 0, returned_in_epoch_ = 0;
     std::optional<double> closing_reserved_, closing_returned_;
@@ -134,9 +135,9 @@
 
     double available_ = 0, lent_available_ = 0;
     double charged_ = 0, lent_ = 0;
-    double demand_ = 0, lent_demand_ = 0;  // units of late, decaying over kDemandWindow
+    double demand_ = 0, lent_demand_ = 0;  // recent units, decaying over kDemandWindowS
     Timestamp demand_at_{}, lent_demand_at_{};
-    double rate_tokens_ = 0;  // units, of the balance's rate
+    double rate_tokens_ = 0;  // units, refilled at the balance's max_rate
     Timestamp rate_tokens_at_{};
     std::uint64_t lost_reservations_ = 0, counter_resets_ = 0;
 };
--- a/src/metering/committed_capacity.cpp
+++ b/src/metering/committed_capacity.cpp
@@ -8,7 +8,7 @@
 
 std::optional<Overcommitment> find_overcommitment(double capacity, const std::vector<Commitment>& standing,
                                                   const std::vector<Commitment>& requested) {
-    constexpr double kRounding = 1e-9;  // of the capacity: sums of rates are not exact
+    constexpr double kRelativeTolerance = 1e-9;  // of the capacity: sums of rates are not exact
     // The rate's changes by instant. Each requested window is checked against the standing commitments and
     // the requested ones before it.
     std::map<policy::Timestamp, double> rate_changes;
@@ -25,7 +25,7 @@
             rate += change->second;
             const auto next = std::next(change);
             const bool within = next == rate_changes.end() || next->first > requested[i].since;
-            if (!within || rate <= capacity * (1 + kRounding)) continue;
+            if (!within || rate <= capacity * (1 + kRelativeTolerance)) continue;
             return Overcommitment{i, std::max(change->first, requested[i].since), rate};
         }
     }
--- a/src/metering/ledger_schema.h
+++ b/src/metering/ledger_schema.h
@@ -1,4 +1,4 @@
-// The ledger's tables in SQLite, and the checksum of a row of usage: a stored format.
+// The stored format of the usage ledger: its SQLite tables and the checksum of a usage row.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace linnetlead::metering {
 
-// Times are milliseconds of Unix time. `x_` columns of `use` are what was exported; `batch.receipted` is when
-// the receiver's receipt came, 0 before; `epoch.clean` is 1 once a process has closed its epoch.
+// Times are milliseconds of Unix time. The `x_` columns of `use` hold what was exported; `batch.receipted` is
+// the time of the receiver's receipt, 0 before; `epoch.clean` is 1 once a process has closed its epoch.
 constexpr const char* kLedgerTables = R"sql(
 CREATE TABLE IF NOT EXISTS ledger(id TEXT, gateway TEXT, schema TEXT);
 CREATE TABLE IF NOT EXISTS epoch(number INTEGER PRIMARY KEY, lease INTEGER, counted INTEGER, clean INTEGER);
@@ -22,8 +22,8 @@
   content BLOB, receipted INTEGER);
 )sql";
 
-// Of a row of `use`, in its column `sum`: SQLite notices torn pages, but no flipped bits. `period_ms`: the
-// instant the period begins at.
+// The checksum of a row of `use`, stored in its column `sum`. SQLite detects torn pages, but not flipped
+// bits. `period_ms`: the instant at which the period begins.
 std::int64_t row_checksum(AccountId account, const std::string& row_name, std::int64_t period_ms,
                           const Usage& usage, const Usage& exported);
 
--- a/src/metering/ledger_store.cpp
+++ b/src/metering/ledger_store.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Bounds a batch's size on the way to the receiver; what is left goes into the next one.
+// Bounds the size of a batch sent to the receiver; further rows go into the next one.
 constexpr std::int64_t kMaxBatchRows = 50'000;
 constexpr int kBusyTimeoutMs = 1000;  // for readers, at a checkpoint
 constexpr std::size_t kPageBytes = 4096;
@@ -35,7 +35,7 @@
     return Batch{found.number(0), found.text(2), found.text(1), found.number(3)};
 }
 
-// The start of a problem's line.
+// The start of an error message.
 std::string subject(const std::string& path) { return "the ledger " + path + " "; }
 
 }  // namespace
@@ -108,7 +108,7 @@
         if (!status) status.error().message = subject(path) + status.error().message;
         return status;
     };
-    // Locked as long as the process lives: two gateways given one file would each count for both.
+    // Locked as long as the ledger is open: two gateways with one file would each count the usage of both.
     if (!settings.path.empty() && !lock_file(path)) {
         const bool held = errno == EWOULDBLOCK;
         return with_subject(fail(
@@ -142,14 +142,14 @@
     return {};
 }
 
-// Whose ledger it is; a new one is given an id.
+// Checks that the ledger is this gateway's, and gives a new one its id.
 Status LedgerStore::identify(const Settings& settings) {
     gateway_ = settings.gateway;
     SqliteStatement about(db_, "SELECT id, gateway, schema FROM ledger");
     if (about.next_row()) {
         ledger_id_ = about.text(0);
         if (about.text(2) != kUsageSchema) {
-            return fail(ErrorCode::kFailedPrecondition, "has another form: " + about.text(2));
+            return fail(ErrorCode::kFailedPrecondition, "has an unknown schema: " + about.text(2));
         }
         if (about.text(1) != gateway_) {
             return fail(ErrorCode::kFailedPrecondition,
@@ -307,12 +307,12 @@
 
 Status LedgerStore::record_receipt(std::int64_t number, Timestamp now) {
     SqliteStatement update(db_, "UPDATE batch SET receipted = ? WHERE number = ?");
-    const std::int64_t at = std::max<std::int64_t>(1, ms_of(now));  // 0 stands for none
+    const std::int64_t at = std::max<std::int64_t>(1, ms_of(now));  // 0: no receipt
     if (!update.bind(at).bind(number).run()) return roll_back("receipt");
     return {};
 }
 
-// The last batch stays: the next one goes on from its number and checksum.
+// Keeps the last batch, because the next one continues its number and checksum.
 Status LedgerStore::prune(Timestamp before) {
     const std::int64_t at = ms_of(before);
     if (!execute("BEGIN IMMEDIATE")) return roll_back("begin");
--- a/src/metering/ledger_store.h
+++ b/src/metering/ledger_store.h
@@ -1,10 +1,10 @@
 // The usage ledger on disk: usage by account, plan and period, the usage lease, and the export's numbered
-// batches, in an SQLite file that one gateway holds alone. Blocking; it belongs on a thread of its own.
-// Without a path it is in memory, bounded, and gone with the process.
+// batches, in an SQLite file that one gateway locks. Calls block, so they belong on a thread of their own.
+// Without a path the ledger is in memory, bounded, and lost when the process ends.
 //
-// Every row carries a checksum of its own, since SQLite notices torn pages but no flipped bits. A transaction
-// is one flush: with WAL and synchronous=FULL it is on disk whole or not at all, also when the process is
-// killed in its midst.
+// Every row has a checksum, since SQLite detects torn pages but not flipped bits. Each flush is one
+// transaction: with WAL and synchronous=FULL it is on disk either whole or not at all, even if the process is
+// killed during it.
 #pragma once
 
 #include <cstdint>
@@ -26,52 +26,55 @@
     struct Settings {
         std::string path;  // empty: in memory
         std::string gateway;
-        std::uint64_t seed = 0;                   // of a new ledger's id
-        std::size_t max_memory_bytes = 16 << 20;  // of one in memory
+        std::uint64_t seed = 0;                   // for a new ledger's id
+        std::size_t max_memory_bytes = 16 << 20;  // of a ledger in memory
     };
-    // Opens the ledger or makes a new one, verifies it whole and begins an epoch. kUnavailable: another
-    // process holds it; kDataLoss: it is damaged; kFailedPrecondition: it is another gateway's or of another
-    // version; kIo: all else.
+    // Opens the ledger or creates it, verifies all of it and begins an epoch. kUnavailable: another process
+    // has locked it; kDataLoss: it is damaged; kFailedPrecondition: it belongs to another gateway or has
+    // another schema; kIo: any other failure.
     static Result<std::unique_ptr<LedgerStore>> open(const Settings& settings);
-    // For reading alone, beside a gateway that holds it or not. kIo: there is none, or it is no ledger.
+    // Opens a ledger for reading, also while a gateway has it locked. kIo: the file does not exist or is not
+    // a ledger.
     static Result<std::unique_ptr<LedgerStore>> open_to_read(const std::string& path);
     ~LedgerStore();
     LedgerStore(const LedgerStore&) = delete;
     LedgerStore& operator=(const LedgerStore&) = delete;
 
-    // Adds changes in one transaction; `names` are the row names that their keys point to. `lease_limit`: to
-    // be raised to, 0: not; `counted`: all that this epoch has counted so far. kIo: nothing of it was
-    // written.
+    // Adds changes in one transaction; `names` are the row names that their keys point to. `lease_limit`:
+    // raises the lease to it, unless it is already as high; `counted`: all that this epoch has counted so
+    // far. kIo: nothing was written.
     Status record(const std::vector<std::string>& names, const UsageLedger::Changes& changes, Duration period,
                   Milliunits lease_limit, Milliunits counted);
 
-    // The next batch of what was not exported yet; nothing where there is nothing. Changes of periods that
-    // begin before `closed_before` and were exported are marked as corrections. kIo: nothing was written.
+    // Makes the next batch of changes that were not exported yet; nothing where there are none. Changes to
+    // exported rows of periods that begin before `closed_before` are marked as corrections. kIo: nothing was
+    // written.
     Result<std::optional<Batch>> make_batch(Timestamp now, Timestamp closed_before);
-    // The oldest batch without a receipt; nothing also where it cannot be read, as with the next two.
+    // The oldest batch without a receipt. A batch that cannot be read counts as absent, here and in the next
+    // two functions.
     std::optional<Batch> first_without_receipt();
     std::optional<Batch> batch(std::int64_t number);
     std::vector<std::int64_t> batch_numbers();
     Status record_receipt(std::int64_t number, Timestamp now);
-    // Drops batches whose receipt is older than `before` and usage of older periods that is exported whole.
+    // Deletes batches whose receipt is older than `before` and fully exported usage of older periods.
     Status prune(Timestamp before);
-    // All that was forwarded in this epoch is counted.
+    // Marks the epoch as clean: all that was forwarded in it is counted.
     Status close_epoch();
 
     const std::string& ledger_id() const { return ledger_id_; }
     std::int64_t epoch() const { return epoch_; }
-    // Units that may have been forwarded in epochs that ended without close_epoch(), and were not counted.
+    // Units that may have been forwarded but not counted in epochs that ended without close_epoch().
     Milliunits uncertain() const { return uncertain_; }
 
     struct Row {
         AccountId account = 0;
-        std::string name;    // as decode_row_name() reads it
+        std::string name;    // as stored; see decode_row_name()
         Timestamp period{};  // its beginning
         Usage usage;
         Usage exported;
     };
     std::vector<Row> rows();
-    // As verify_ledger().
+    // See verify_ledger().
     std::vector<std::string> verify();
 
 private:
--- a/src/metering/ledger_verifier.cpp
+++ b/src/metering/ledger_verifier.cpp
@@ -17,10 +17,10 @@
     explicit LedgerVerifier(sqlite3* db) : db_(db) {}
 
     std::vector<std::string> verify() {
-        if (!pages_are_good()) return problems_;
+        if (!check_pages()) return problems_;
         read_rows();
         read_batches();
-        // Where early batches were pruned, their sums are not there to compare.
+        // Once early batches are pruned, their sums cannot be compared any more.
         if (has_first_batch_ && problems_.empty()) compare_sums();
         return problems_;
     }
@@ -28,7 +28,7 @@
 private:
     using RowKey = std::tuple<std::string, std::string, std::string>;  // account, row name, period
 
-    bool pages_are_good() {
+    bool check_pages() {
         SqliteStatement check(db_, "PRAGMA quick_check(1)");
         if (check.next_row() && check.text(0) == "ok") return true;
         problems_.push_back("the file's pages: " +
@@ -46,19 +46,19 @@
             const auto account = static_cast<AccountId>(all.number(0));
             const std::string text = write_account(account);
             if (all.number(9) != row_checksum(account, all.text(1), all.number(2), usage, exported)) {
-                problems_.push_back("the use of account " + text + " does not fit its checksum");
+                problems_.push_back("usage of account " + text + " does not match its checksum");
             }
             const std::string period = write_instant(std::chrono::milliseconds(all.number(2)));
             exported_[{text, all.text(1), period}] = exported;
         }
         if (!all.good()) {
-            problems_.push_back(std::string("the use cannot be read: ") + sqlite3_errmsg(db_));
+            problems_.push_back(std::string("usage rows cannot be read: ") + sqlite3_errmsg(db_));
         }
     }
 
     void read_batches() {
         SqliteStatement all(db_, "SELECT number, checksum, content, rows FROM batch ORDER BY number");
-        std::int64_t last = 0;  // the number before; 0: none
+        std::int64_t last = 0;  // number of the preceding batch; 0: none
         std::string previous_checksum;
         while (all.next_row()) {
             const Batch batch{all.number(0), all.text(2), all.text(1), all.number(3)};
@@ -68,7 +68,7 @@
                 problems_.push_back(name + " does not follow batch " + std::to_string(last));
             }
             if (checksum_of(batch.content) != batch.checksum) {
-                problems_.push_back(name + " does not fit its checksum");
+                problems_.push_back(name + " does not match its checksum");
             } else {
                 add_batch(batch, name, last > 0 ? &previous_checksum : nullptr);
             }
@@ -77,14 +77,14 @@
         }
     }
 
-    // `previous_checksum`: of the batch before; null: there is none.
+    // `previous_checksum`: of the preceding batch; null: there is none.
     void add_batch(const Batch& batch, const std::string& name, const std::string* previous_checksum) {
         const auto decoded = decode_batch(batch.content);
         if (decoded && previous_checksum && decoded->previous_checksum != *previous_checksum) {
-            problems_.push_back(name + " is not chained to the one before");
+            problems_.push_back(name + " is not chained to the preceding batch");
         }
         const auto rows = decoded ? static_cast<std::int64_t>(decoded->lines.size()) : -1;
-        if (rows != batch.rows) problems_.push_back(name + " does not hold its rows");
+        if (rows != batch.rows) problems_.push_back(name + " does not hold the stated number of rows");
         if (!decoded) return;
         for (const BatchLine& line : decoded->lines) {
             sums_[{line.account, line.row_name, line.period}] += line.usage;
@@ -96,7 +96,7 @@
             const auto at = sums_.find(key);
             const Usage sum = at == sums_.end() ? Usage{} : at->second;
             if (sum == exported) continue;
-            problems_.push_back("what is noted as exported of account " + std::get<0>(key) +
+            problems_.push_back("usage marked as exported for account " + std::get<0>(key) +
                                 " is not in the batches");
         }
     }
--- a/src/metering/ledger_verifier.h
+++ b/src/metering/ledger_verifier.h
@@ -1,4 +1,4 @@
-// Checks a stored ledger against itself.
+// Checks the integrity and consistency of a stored ledger; LedgerStore calls it when it opens one.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace linnetlead::metering {
 
-// Recomputes every checksum, the batches' sequence and chain, and that the batches' sums are what the rows
-// state as exported. One line for each thing that is wrong; empty: the ledger is sound.
+// Checks every checksum, the sequence and the chain of the batches, and that the sums of the batches equal
+// what the rows state as exported. Returns one line for each problem; empty: the ledger is intact.
 std::vector<std::string> verify_ledger(sqlite3* db);
 
 }  // namespace linnetlead::metering
--- a/src/metering/plan_accounts.cpp
+++ b/src/metering/plan_accounts.cpp
@@ -20,7 +20,8 @@
     return at;
 }
 
-// A charged request is not to be held against a quota once more: to the decision module its plan has none.
+// A request charged to a balance must not also count against a quota, so the decision module sees it under a
+// plan without one.
 policy::RatePlanSettings plan_without_quota(int max_concurrent) {
     policy::RatePlanSettings plan;
     plan.name = "reserve";
@@ -30,26 +31,26 @@
 }
 
 tl::unexpected<Error> too_many_plans() {
-    return fail(ErrorCode::kResourceExhausted, "too many plans since the start");
+    return fail(ErrorCode::kResourceExhausted, "too many different plans since the process started");
 }
 
 }  // namespace
 
-PlanAccounts::PlanAccounts(const policy::Settings& site, Duration period, UsageLedger::Limits limits,
+PlanAccounts::PlanAccounts(const policy::Settings& platform, Duration period, UsageLedger::Limits limits,
                            double lease_block, CounterAdd add)
     : ledger_(period, limits),
       lease_(lease_block),
-      balances_(site.gateways, site.max_units, std::move(add)),
-      may_use_counter_(site.may_use_counter),
-      platform_plans_(site.plans.size()),
-      positions_(site.plans) {
+      balances_(platform.gateways, platform.max_units, std::move(add)),
+      may_use_counter_(platform.may_use_counter),
+      platform_plans_(platform.plans.size()),
+      positions_(platform.plans) {
     for (const auto& plan : positions_) row_names_.push_back(ledger_.name_index(plan.name));
-    position_by_name_ = by_name({}, {});
+    position_by_name_ = index_by_name({}, {});
 }
 
-// A plan of the schedule's own goes before the platform's of the same name.
-PlanAccounts::PositionByName PlanAccounts::by_name(const PlanSchedule& schedule,
-                                                   const std::vector<std::int32_t>& positions) const {
+// A plan of the schedule takes precedence over one of the platform with the same name.
+PlanAccounts::PositionByName PlanAccounts::index_by_name(const PlanSchedule& schedule,
+                                                         const std::vector<std::int32_t>& positions) const {
     PositionByName made;
     for (std::size_t i = 0; i < schedule.plans.size(); ++i)
         made.emplace(schedule.plans[i].name, positions[i]);
@@ -68,8 +69,8 @@
     return quota_of(b) < quota_of(a) ? b : a;
 }
 
-std::int32_t PlanAccounts::looked_up_position(AccountId account, Timestamp now, std::int32_t named,
-                                              bool& restricted) const {
+std::int32_t PlanAccounts::position_from_terms(AccountId account, Timestamp now, std::int32_t named,
+                                               bool& restricted) const {
     const auto position = [named](const PositionByName& among, const std::optional<std::string>& plan) {
         const auto at = plan ? among.find(*plan) : among.end();
         return at == among.end() ? named : at->second;
@@ -83,7 +84,8 @@
                   position(other_schedule_ ? other_position_by_name_ : position_by_name_, found.next));
 }
 
-std::int32_t PlanAccounts::scheduled_position(AccountId account, Timestamp now, std::int32_t named) const {
+std::int32_t PlanAccounts::position_from_schedule(AccountId account, Timestamp now,
+                                                  std::int32_t named) const {
     std::int32_t position = named;
     if (schedule_) {
         const auto plan = schedule_->plan_at(account, now);
@@ -100,14 +102,14 @@
                                        std::vector<policy::RatePlanSettings>& added) const {
     std::size_t at = index_of(plan, positions_);
     if (at == positions_.size()) {
-        const std::size_t behind = index_of(plan, added);
-        if (behind == added.size()) added.push_back(plan);
-        at += behind;
+        const std::size_t added_at = index_of(plan, added);
+        if (added_at == added.size()) added.push_back(plan);
+        at += added_at;
     }
     return static_cast<std::int32_t>(at);
 }
 
-void PlanAccounts::learn(const std::vector<policy::RatePlanSettings>& added) {
+void PlanAccounts::append_plans(const std::vector<policy::RatePlanSettings>& added) {
     for (const auto& plan : added) {
         positions_.push_back(plan);
         row_names_.push_back(ledger_.name_index(plan.name));
@@ -125,8 +127,8 @@
         balance_positions[limit] = position_of(plan_without_quota(limit), added);
     }
     if (!fits(added)) return too_many_plans();
-    learn(added);
-    position_by_name_ = by_name(*schedule, positions);
+    append_plans(added);
+    position_by_name_ = index_by_name(*schedule, positions);
     least_position_ = 0;
     for (const auto& [name, at] : position_by_name_) least_position_ = lesser(least_position_, at);
     schedule_positions_ = std::move(positions);
@@ -148,9 +150,9 @@
         other_schedule_.reset();
         return too_many_plans();
     }
-    learn(added);
+    append_plans(added);
     other_schedule_ = on ? std::move(other) : nullptr;
-    other_position_by_name_ = other_schedule_ ? by_name(*other_schedule_, positions) : PositionByName();
+    other_position_by_name_ = other_schedule_ ? index_by_name(*other_schedule_, positions) : PositionByName();
     other_positions_ = std::move(positions);
     return added;
 }
@@ -159,8 +161,8 @@
     const auto account = read_account(request.tenant);
     bool restricted = restricted_;
     if (account) {
-        request.plan = term_source_ ? looked_up_position(*account, now, request.plan, restricted)
-                                    : scheduled_position(*account, now, request.plan);
+        request.plan = term_source_ ? position_from_terms(*account, now, request.plan, restricted)
+                                    : position_from_schedule(*account, now, request.plan);
     }
     if (request_handle.index >= open_.size()) open_.resize(request_handle.index + 1);
     OpenRequest& open = open_[request_handle.index] = {};
@@ -182,11 +184,11 @@
     open.charge = charge;
     const int limit = balances_.find(charge.lease)->balance().max_concurrent;
     request.plan = balance_positions_.at(limit);
-    request.tenant += '+';  // beside the account itself, whose quota this request does not touch
+    request.tenant += '+';                         // a tenant of its own, so the account's quota is not used
     if (limit == 0) request.gateway_set_size = 1;  // nothing is shared, so no demand is reported
 }
 
-// In the ledger, usage of a prepaid balance is under the account's plan together with the balance.
+// In the ledger, usage of a prepaid balance has a row named after the account's plan and the balance.
 std::int32_t PlanAccounts::row_name_of(const OpenRequest& open) {
     const std::int32_t plan = row_names_[static_cast<std::size_t>(open.plan)];
     const BalanceLease* lease = open.charge.lease ? balances_.find(open.charge.lease) : nullptr;
@@ -229,7 +231,7 @@
     --open_requests_;
     const OpenRequest& open = open_[request_handle.index];
     if (open.counted) return;
-    // It never reached an endpoint.
+    // The request never reached an endpoint.
     if (open.leased > 0) lease_.count(-open.leased);
     if (open.charge.lease) balances_.refund(open.charge);
 }
--- a/src/metering/plan_accounts.h
+++ b/src/metering/plan_accounts.h
@@ -1,5 +1,5 @@
-// Which rate plan a request of an account is under, what is charged to a prepaid balance, and what is counted
-// as usage, for the requests of one gateway. No I/O.
+// Decides for the requests of one gateway which rate plan they are under, which are charged to a prepaid
+// balance, and what is counted as usage. The request manager calls it as its AccountingPort. No I/O.
 #pragma once
 
 #include <memory>
@@ -17,16 +17,16 @@
 
 namespace linnetlead::metering {
 
-// Looks up accounts' terms one by one, where there are too many for a schedule. The plans that it names are
-// the schedule's or the platform's; a request of an account without a known plan is under the plan that it
-// names itself.
+// Looks up the terms of single accounts, where there are too many for a schedule. It returns names of plans
+// of the schedule or the platform. A request whose account has no known plan is under the plan that the
+// request names.
 class TermSource {
 public:
     struct Lookup {
-        std::optional<std::string> plan;  // active; none: there is no term of the account now
-        std::optional<std::string> next;  // once all that is known is active
+        std::optional<std::string> plan;  // active; none: the account has no term now
+        std::optional<std::string> next;  // active once the newest known configuration is
         bool uncertain = false;           // the account's terms cannot be read here
-        bool restricted = false;          // as under PlanAccounts::restrict(), of this request
+        bool restricted = false;          // this request, as under PlanAccounts::restrict()
     };
     virtual ~TermSource() = default;
     virtual Lookup lookup(AccountId account, Timestamp now) const = 0;
@@ -34,28 +34,28 @@
 
 class PlanAccounts final : public proxy::AccountingPort {
 public:
-    // `site`: with the plans that the decision module has from the platform's settings. `lease_block`: as
-    // UsageLease's. `add`: for prepaid balances; where the platform's settings forbid the counter, there are
-    // none.
-    PlanAccounts(const policy::Settings& site, Duration period, UsageLedger::Limits limits,
+    // `platform`: the platform's settings, whose plans the decision module has. `lease_block`: see
+    // UsageLease. `add`: for prepaid balances, of which there are none if the platform's settings forbid the
+    // counter.
+    PlanAccounts(const policy::Settings& platform, Duration period, UsageLedger::Limits limits,
                  double lease_block, CounterAdd add);
 
-    // Makes a schedule active. Returns the plans that the decision module has to learn, which it keeps behind
-    // those it has. kResourceExhausted: it would have to hold too many over the process's life; the schedule
-    // before stands.
+    // Makes a schedule active. Returns the plans that the caller has to append to those of the decision
+    // module. kResourceExhausted: the process would have had too many plans; the previous schedule stays
+    // active.
     Result<std::vector<policy::RatePlanSettings>> apply_schedule(
         std::shared_ptr<const PlanSchedule> schedule);
-    // While it is not known which of two schedules is active, an account has the lesser of its two plans, and
-    // nothing is charged to a prepaid balance. `other`: null where there is only the one. Returns and fails
-    // as above, but after a failure the restriction stands without the other schedule.
+    // While it is unknown which of two schedules is active, an account has the lesser of its two plans, and
+    // nothing is charged to a prepaid balance. `other`: null if there is only one schedule. Returns and fails
+    // like apply_schedule(), but after a failure the restriction applies without the other schedule.
     Result<std::vector<policy::RatePlanSettings>> restrict(bool on,
                                                            std::shared_ptr<const PlanSchedule> other);
-    // Terms come from there and not from the schedule; it outlives this. An account whose terms are uncertain
-    // has the least of the plans that are known here.
+    // Reads terms from `source`, which outlives this object, instead of the schedule. An account whose terms
+    // are uncertain has the least of the known plans.
     void use_term_source(const TermSource* source) { term_source_ = source; }
-    // Nothing is charged to a prepaid balance.
+    // While on, nothing is charged to a prepaid balance.
     void suspend_balances(bool on) { balances_suspended_ = on; }
-    // Null before the first one.
+    // The active schedule; null before the first one.
     const PlanSchedule* schedule() const { return schedule_.get(); }
 
     void taken(Timestamp now, proxy::Handle request_handle, policy::Request& request) override;
@@ -70,12 +70,12 @@
     UsageLedger& ledger() { return ledger_; }
     UsageLease& lease() { return lease_; }
     PrepaidBalances& balances() { return balances_; }
-    // False: nobody writes a ledger, and no request pays for counting.
+    // Off: no ledger is written, and requests are spared the cost of counting.
     void count_usage(bool on) { counts_usage_ = on; }
     std::size_t open_requests() const { return open_requests_; }
 
 private:
-    // Plans that the decision module holds, over the process's life: it never forgets one.
+    // Bounds the plans that the decision module holds, since it never removes one.
     static constexpr std::size_t kMaxPositions = 4096;
     struct OpenRequest {
         AccountId account = 0;
@@ -88,20 +88,21 @@
     };
     using PositionByName = std::unordered_map<std::string, std::int32_t>;
 
-    PositionByName by_name(const PlanSchedule& schedule, const std::vector<std::int32_t>& positions) const;
-    // `named`: the plan that the request names. `restricted`: set to whether the request is.
-    std::int32_t looked_up_position(AccountId account, Timestamp now, std::int32_t named,
-                                    bool& restricted) const;
-    std::int32_t scheduled_position(AccountId account, Timestamp now, std::int32_t named) const;
+    PositionByName index_by_name(const PlanSchedule& schedule,
+                                 const std::vector<std::int32_t>& positions) const;
+    // `named`: the plan that the request names. `restricted`: set to whether the request is restricted.
+    std::int32_t position_from_terms(AccountId account, Timestamp now, std::int32_t named,
+                                     bool& restricted) const;
+    std::int32_t position_from_schedule(AccountId account, Timestamp now, std::int32_t named) const;
     // The lesser of two positions' plans, by rate, then burst.
     std::int32_t lesser(std::int32_t a, std::int32_t b) const;
-    // The position of a plan, which is appended to `added` if it has none.
+    // The position of a plan, which is appended to `added` if it is new.
     std::int32_t position_of(const policy::RatePlanSettings& plan,
                              std::vector<policy::RatePlanSettings>& added) const;
     bool fits(const std::vector<policy::RatePlanSettings>& added) const {
         return positions_.size() + added.size() <= kMaxPositions;
     }
-    void learn(const std::vector<policy::RatePlanSettings>& added);
+    void append_plans(const std::vector<policy::RatePlanSettings>& added);
     void charge_to_balance(OpenRequest& open, const PrepaidBalances::Charge& charge,
                            policy::Request& request);
     std::int32_t row_name_of(const OpenRequest& open);
@@ -113,7 +114,7 @@
     bool may_use_counter_;
 
     std::shared_ptr<const PlanSchedule> schedule_;
-    std::vector<std::int32_t> schedule_positions_;  // in the module, of each plan of the schedule
+    std::vector<std::int32_t> schedule_positions_;  // in the decision module, of the schedule's plans
     PositionByName position_by_name_;               // of the schedule's plans and the platform's
     std::size_t platform_plans_;
     std::int32_t least_position_ = 0;
--- a/src/metering/plan_schedule.cpp
+++ b/src/metering/plan_schedule.cpp
@@ -11,7 +11,7 @@
 namespace linnetlead::metering {
 
 std::optional<std::int32_t> PlanSchedule::plan_at(AccountId account, Timestamp now) const {
-    // The last term of the account that has begun.
+    // The last of the account's terms that has begun.
     auto at = std::upper_bound(terms.begin(), terms.end(), std::pair(account, now),
                                [](const std::pair<AccountId, Timestamp>& wanted, const Term& term) {
                                    return wanted < std::pair(term.account, term.since);
--- a/src/metering/plan_schedule.h
+++ b/src/metering/plan_schedule.h
@@ -1,5 +1,5 @@
-// The plan schedule: which rate plan each account is on from which instant, and the prepaid balances. Built
-// once by read_plan_schedule() and never changed afterwards, so that a reload is the exchange of a pointer.
+// The plan schedule: the rate plan of each account over time, and the prepaid balances. read_plan_schedule()
+// builds it; it is immutable afterwards, so a reload exchanges a pointer.
 #pragma once
 
 #include <cstdint>
@@ -24,22 +24,22 @@
 };
 
 struct PlanSchedule {
-    std::vector<policy::RatePlanSettings> plans;  // the document's own, then those it uses of the platform's
-    std::vector<Term> terms;                      // by account, then instant; no two overlap
+    std::vector<policy::RatePlanSettings> plans;  // the document's own, then the platform's that it uses
+    std::vector<Term> terms;                      // sorted by account, then start; no two overlap
     std::vector<PrepaidBalance> balances;         // in the document's order; they fit the capacity
-    double capacity = 0;                          // of the fleet, units a second as stated; 0: not stated
+    double capacity = 0;                          // of the fleet, in units a second; 0: not stated
 
-    // The active plan's position, or nothing where the schedule has no term of the account at `now`.
+    // The active plan's position, or nothing if the schedule has no term for the account at `now`.
     std::optional<std::int32_t> plan_at(AccountId account, Timestamp now) const;
 };
 
 // 16 hex digits of a number below 2^33, as requests name their tenant.
 std::optional<AccountId> read_account(std::string_view text);
 std::string write_account(AccountId account);
-// "2026-12-01T10:00:00Z", with fractions of a second if wanted; to the millisecond.
+// "2026-12-01T10:00:00Z", optionally with fractions of a second; to the millisecond.
 std::optional<Timestamp> read_instant(std::string_view text);
 std::string write_instant(Timestamp time);
-// Seconds of Unix time, to the millisecond: so much a double keeps.
+// From seconds of Unix time, to the millisecond.
 Timestamp time_of_seconds(double seconds);
 
 }  // namespace linnetlead::metering
--- a/src/metering/plan_schedule_reader.cpp
+++ b/src/metering/plan_schedule_reader.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Thrown and caught within this file: it ends the reading from any depth.
+// Thrown and caught within this file; ends the reading from any call depth.
 struct InvalidDocument {
     Problem problem;
 };
@@ -27,8 +27,8 @@
     return {{file, at, what}};
 }
 
-// Gateways share a plan's token bucket under its tag: the same figures have the same tag at every gateway,
-// whatever the order of its file. The hash is FNV-1a; its text is on the wire.
+// Gateways share a plan's token bucket under its tag: equal plans have the same tag at every gateway,
+// whatever the order of its document. The hash is FNV-1a; the tag is on the wire.
 std::string tag_of(const policy::RatePlanSettings& plan) {
     char text[256];
     std::snprintf(text, sizeof(text), "%.9g,%.9g,%d,%.9g,%.9g,%.9g,", plan.rate, plan.burst,
@@ -43,7 +43,7 @@
 
 Timestamp instant_of(const Value& instant) { return time_of_seconds(instant.find("value")->number); }
 
-// A line of a list of accounts, cut at its commas.
+// A comma-separated field of a line of a list of accounts.
 struct Field {
     std::size_t column = 0;  // from 0
     std::string text;
@@ -77,7 +77,7 @@
         if (const Value* lists = document_.find("account_lists")) {
             for (const Value& list : lists->items) read_list(list);
         }
-        finish();
+        finish_terms();
         if (const Value* reserves = document_.find("reserves")) {
             for (const Value& reserve : reserves->items) read_balance(reserve);
             check_capacity(*reserves);
@@ -112,7 +112,7 @@
         schedule_->plans.push_back(plan);
     }
 
-    // A platform plan joins the schedule where it is first named.
+    // Adds a platform plan to the schedule when it is first named.
     std::optional<std::int32_t> find_plan(const std::string& name) {
         for (std::size_t i = 0; i < schedule_->plans.size(); ++i) {
             if (schedule_->plans[i].name == name) return static_cast<std::int32_t>(i);
@@ -137,7 +137,8 @@
         if (const Value* since = from.find("since")) term.since = instant_of(*since);
         if (const Value* until = from.find("until")) {
             term.until = instant_of(*until);
-            if (term.until <= term.since) throw invalid(file_, until->at, "'until' must lie behind 'since'");
+            if (term.until <= term.since)
+                throw invalid(file_, until->at, "'until' must be later than 'since'");
         }
         add(term, {0, static_cast<std::uint32_t>(from.at.line), static_cast<std::uint32_t>(from.at.column)});
     }
@@ -158,27 +159,29 @@
         one.since = instant_of(*from.find("since"));
         one.until = instant_of(*from.find("until"));
         if (one.until <= one.since)
-            throw invalid(file_, from.find("until")->at, "'until' must lie behind 'since'");
+            throw invalid(file_, from.find("until")->at, "'until' must be later than 'since'");
         if (const Value* pace = from.find("pace")) one.max_rate = pace->find("value")->number;
         if (const Value* open = from.find("open")) one.max_concurrent = static_cast<int>(open->number);
         if (const Value* lend = from.find("lend")) one.lend = lend->truth;
         if (one.max_rate > 0 && one.max_rate * seconds(one.until - one.since) < one.units) {
-            throw invalid(file_, from.find("pace")->at, "at this pace the units cannot be used in the time");
+            throw invalid(file_, from.find("pace")->at,
+                          "at this pace the units cannot be used up before 'until'");
         }
         schedule_->balances.push_back(one);
     }
 
-    // The schedule's accounts commit their plans' rates, or the share of them that the capacity states;
-    // balances come on top.
+    // The schedule's accounts commit their plans' rates, or the share of them that the capacity declares;
+    // balances are added to that.
     void check_capacity(const Value& reserves) {
         const Value* stated = document_.find("capacities");
         if (!stated || stated->items.empty()) {
-            throw invalid(file_, reserves.items.front().at,
-                          "a reserve wants the fleet's capacity stated, as in capacity(per_second(400))");
+            throw invalid(
+                file_, reserves.items.front().at,
+                "a reserve requires the fleet's capacity to be stated, as in capacity(per_second(400))");
         }
         if (!may_use_counter_) {
             throw invalid(file_, reserves.items.front().at,
-                          "reserves want the counter service, which the platform's settings forbid here");
+                          "reserves require the counter service, which the platform's settings forbid here");
         }
         const Value& capacity = stated->items.front();
         schedule_->capacity = capacity.find("rate")->find("value")->number;
@@ -213,31 +216,32 @@
             if (line.empty() || line.front() == '#') continue;
             read_list_line(line, {static_cast<std::uint32_t>(lists_.size()), number, 1});
         }
-        // Else the accounts behind a failed read would be on no plan.
+        // Otherwise the accounts after a failed read would have no plan.
         if (list.bad()) throw invalid(file_, from.at, "the file '" + path + "' cannot be read to its end");
     }
 
     void read_list_line(const std::string& line, const Origin& origin) {
         constexpr std::size_t kMinFields = 2, kMaxFields = 4;
-        const auto wrong = [&](std::size_t column, const std::string& what) {
+        const auto invalid_line = [&](std::size_t column, const std::string& what) {
             return invalid(lists_.back(), {origin.line, column + 1}, what);
         };
         const std::vector<Field> fields = split_fields(line);
         if (fields.size() < kMinFields || fields.size() > kMaxFields) {
-            throw wrong(0, "a line is ACCOUNT,PLAN[,SINCE[,UNTIL]]");
+            throw invalid_line(0, "a line is ACCOUNT,PLAN[,SINCE[,UNTIL]]");
         }
         const auto account = read_account(fields[0].text);
-        if (!account) throw wrong(0, "an account is 16 hex digits below 2^33");
+        if (!account) throw invalid_line(0, "an account is 16 hex digits below 2^33");
         const auto plan = find_plan(fields[1].text);
-        if (!plan) throw wrong(fields[1].column, "there is no plan '" + fields[1].text + "'");
+        if (!plan) throw invalid_line(fields[1].column, "there is no plan '" + fields[1].text + "'");
         Term term{*account, *plan, Timestamp{0}, kForever};
         for (std::size_t i = 2; i < fields.size(); ++i) {
             if (i == 2 && fields[i].text.empty()) continue;
             const auto instant = read_instant(fields[i].text);
-            if (!instant) throw wrong(fields[i].column, "an instant is written 2026-12-01T10:00:00Z");
+            if (!instant) throw invalid_line(fields[i].column, "an instant is written 2026-12-01T10:00:00Z");
             (i == 2 ? term.since : term.until) = *instant;
         }
-        if (term.until <= term.since) throw wrong(fields.back().column, "the end must lie behind the start");
+        if (term.until <= term.since)
+            throw invalid_line(fields.back().column, "the end must be later than the start");
         add(term, origin);
     }
 
@@ -246,8 +250,8 @@
         terms_.emplace_back(term, origin);
     }
 
-    // Puts the terms in order and ends each at the latest where the account's next one begins.
-    void finish() {
+    // Sorts the terms and ends each where the account's next one begins, or before.
+    void finish_terms() {
         std::sort(terms_.begin(), terms_.end(), [](const auto& a, const auto& b) {
             return std::tie(a.first.account, a.first.since, a.second.file, a.second.line) <
                    std::tie(b.first.account, b.first.since, b.second.file, b.second.line);
@@ -256,15 +260,15 @@
         for (std::size_t i = 0; i < terms_.size(); ++i) {
             Term term = terms_[i].first;
             if (i + 1 < terms_.size() && terms_[i + 1].first.account == term.account) {
-                end_before(term, terms_[i + 1].first, terms_[i + 1].second);
+                end_at_next(term, terms_[i + 1].first, terms_[i + 1].second);
             }
             schedule_->terms.push_back(term);
         }
         if (schedule_->plans.size() > kMaxPlans) throw invalid(file_, {}, "too many plans");
     }
 
-    // A term without an end ends where the next one begins; one with an end must not reach over that.
-    void end_before(Term& term, const Term& next, const Origin& origin_of_next) const {
+    // A term without an end ends where the next one begins; one with an end must not overlap the next.
+    void end_at_next(Term& term, const Term& next, const Origin& origin_of_next) const {
         const bool overlaps = next.since == term.since || (term.until != kForever && term.until > next.since);
         if (overlaps) {
             throw invalid(origin_of_next.file == 0 ? file_ : lists_[origin_of_next.file - 1],
--- a/src/metering/plan_schedule_reader.h
+++ b/src/metering/plan_schedule_reader.h
@@ -1,4 +1,4 @@
-// Reads a plan schedule from the operators' document and from the lists of accounts that it names.
+// Reads a plan schedule from the operators' document and the lists of accounts that it names.
 #pragma once
 
 #include <memory>
@@ -14,9 +14,9 @@
 constexpr std::size_t kMaxPlans = 256;
 constexpr std::size_t kMaxTerms = 1'000'000;
 
-// `file`: the document's path, for problems and for lists of accounts whose path is not absolute. `site`: the
-// platform's plans may be named too; null: only the document's own. Blocks while it reads lists; a long one
-// is read off the loop. A problem says the file, line and column.
+// `file`: the document's path, for problems and for relative paths of lists of accounts. `site`: its platform
+// plans may be named too; null: only the document's own plans. Blocks while it reads the lists, so the event
+// loop must not read a long one. A problem states the file, line and column.
 std::variant<std::shared_ptr<const PlanSchedule>, operator_config::Problem> read_plan_schedule(
     const operator_config::Value& document, const std::string& file, const config::Site* site);
 
--- a/src/metering/prepaid_balance.h
+++ b/src/metering/prepaid_balance.h
@@ -13,14 +13,14 @@
 using AccountId = std::uint64_t;  // the 16 hex digits by which requests name their tenant
 
 struct PrepaidBalance {
-    std::string id;  // names it through all changes of its figures; 40 bytes at most
+    std::string id;  // stays the same when other fields change; 40 bytes at most
     AccountId account = 0;
     double units = 0;
     Timestamp since{}, until{};  // Unix time; usable from `since` and before `until`
     double max_rate = 0;         // units a second at each gateway; 0: no such limit
     int max_concurrent = 0;      // attempts in flight at once; 0: no limit
-    bool lend = true;            // what the owner can no longer use at max_rate goes to other tenants
-    // Units a second that it takes of the fleet's capacity.
+    bool lend = true;            // what the owner cannot use up at max_rate goes to other tenants
+    // Units a second of the fleet's capacity that it commits.
     double rate() const {
         const double seconds = std::chrono::duration<double>(until - since).count();
         return max_rate > 0 ? max_rate : units / seconds;
--- a/src/metering/prepaid_balances.cpp
+++ b/src/metering/prepaid_balances.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// So long after a rejection an account may borrow: lending is for tenants that are short of units.
+// An account may borrow for this long after a rejection: lending is for tenants that are short of units.
 constexpr Duration kBorrowWindow = std::chrono::seconds(1);
 
 bool is_same(const PrepaidBalance& a, const PrepaidBalance& b) {
@@ -94,7 +94,7 @@
     for (const proxy::Handle handle : by_end_) {
         if (leases_.find(handle)->on_counter_reply(now, name, ok, total)) break;
     }
-    return true;  // also of a balance that is gone
+    return true;  // also for a balance that was removed
 }
 
 std::vector<const BalanceLease*> PrepaidBalances::leases() {
--- a/src/metering/sqlite_statement.h
+++ b/src/metering/sqlite_statement.h
@@ -8,8 +8,8 @@
 
 namespace linnetlead::metering {
 
-// Parameters are bound in their order and rows read one by one. A failure makes good() false for good; the
-// database's error text says why.
+// Parameters are bound in order and rows are read one by one. After a failure good() stays false; the
+// database's error message states the reason.
 class SqliteStatement {
 public:
     SqliteStatement(sqlite3* db, const char* sql) {
@@ -32,14 +32,14 @@
                           SQLITE_TRANSIENT);
         return *this;
     }
-    // Steps to the next row. False: there is none, or a failure, which good() tells apart.
+    // Steps to the next row. False: there is none, or the step failed; good() distinguishes the two.
     bool next_row() {
         if (!good_) return false;
         const int result = sqlite3_step(statement_);
         good_ = result == SQLITE_ROW || result == SQLITE_DONE;
         return result == SQLITE_ROW;
     }
-    // Runs a statement without rows. False: it failed.
+    // Runs a statement that returns no rows. False: it failed.
     bool run() { return !next_row() && good_; }
     void reset() {
         sqlite3_reset(statement_);
@@ -47,7 +47,7 @@
     }
     bool good() const { return good_; }
 
-    // Columns of the row, from 0.
+    // Columns of the current row, numbered from 0.
     std::int64_t number(int column) { return sqlite3_column_int64(statement_, column); }
     std::string text(int column) {
         const void* bytes = sqlite3_column_blob(statement_, column);
--- a/src/metering/tenant_terms.cpp
+++ b/src/metering/tenant_terms.cpp
@@ -17,43 +17,43 @@
     return static_cast<double>(ms) / static_cast<double>(kMsPerS);
 }
 
-// The instant of a term's field, or `absent` where the term has none.
+// The instant in a field of a term, or `absent` if the term lacks the field.
 Result<Timestamp> read_time(const json& term, const char* name, Timestamp absent) {
     const auto at = term.find(name);
     if (at == term.end()) return absent;
     const double seconds = at->is_number() ? at->get<double>() : -1;
     if (seconds >= 0 && seconds <= kMaxInstantS) return time_of_seconds(seconds);
     return fail(ErrorCode::kInvalidArgument,
-                std::string("'") + name + "' is no instant in seconds of Unix time");
+                std::string("'") + name + "' is not an instant in seconds of Unix time");
 }
 
 Result<NamedTerm> decode_term(const json& from) {
     if (!from.is_object() || !from.contains("plan") || !from["plan"].is_string()) {
-        return fail(ErrorCode::kInvalidArgument, "a term names its 'plan'");
+        return fail(ErrorCode::kInvalidArgument, "a term must be an object with a string 'plan'");
     }
     for (const auto& [name, ignored] : from.items()) {
         if (name != "plan" && name != "since" && name != "until") {
-            return fail(ErrorCode::kInvalidArgument, "there is no '" + name + "' in a term");
+            return fail(ErrorCode::kInvalidArgument, "unknown field '" + name + "' in a term");
         }
     }
-    // Where both are wrong, the end is reported.
+    // If both are invalid, the error is about 'until'.
     const auto since = read_time(from, "since", Timestamp{0});
     const auto until = read_time(from, "until", kForever);
     if (!until) return tl::unexpected(until.error());
     if (!since) return tl::unexpected(since.error());
-    if (*until <= *since) return fail(ErrorCode::kInvalidArgument, "'until' must lie behind 'since'");
+    if (*until <= *since) return fail(ErrorCode::kInvalidArgument, "'until' must be later than 'since'");
     return NamedTerm{from["plan"].get<std::string>(), *since, *until};
 }
 
-// As in the operators' file: a term without an end ends where the next one begins, one with an end must not
-// reach over.
-Status put_in_order(std::vector<NamedTerm>& terms) {
+// As in the operators' document, a term without an end ends where the next one begins, and one with an end
+// must not overlap the next.
+Status order_terms(std::vector<NamedTerm>& terms) {
     std::sort(terms.begin(), terms.end(),
               [](const NamedTerm& a, const NamedTerm& b) { return a.since < b.since; });
     for (std::size_t i = 0; i + 1 < terms.size(); ++i) {
         const Timestamp next = terms[i + 1].since;
         if (next == terms[i].since || (terms[i].until != kForever && terms[i].until > next)) {
-            return fail(ErrorCode::kInvalidArgument, "two terms hold at one instant");
+            return fail(ErrorCode::kInvalidArgument, "two terms overlap");
         }
         terms[i].until = std::min(terms[i].until, next);
     }
@@ -83,12 +83,12 @@
 Result<std::vector<NamedTerm>> decode_tenant_terms(std::string_view value) {
     const json from = json::parse(value, nullptr, false);
     if (!from.is_object() || from.size() != 1 || !from.contains("terms") || !from["terms"].is_array()) {
-        return fail(ErrorCode::kInvalidArgument, "a tenant is {\"terms\":[...]}");
+        return fail(ErrorCode::kInvalidArgument, "a tenant must be {\"terms\":[...]}");
     }
     const json& list = from["terms"];
     if (list.empty() || list.size() > kMaxTenantTerms) {
         return fail(ErrorCode::kInvalidArgument,
-                    "a tenant has 1 to " + std::to_string(kMaxTenantTerms) + " terms");
+                    "a tenant must have 1 to " + std::to_string(kMaxTenantTerms) + " terms");
     }
     std::vector<NamedTerm> terms;
     for (const json& one : list) {
@@ -96,7 +96,7 @@
         if (!term) return tl::unexpected(term.error());
         terms.push_back(std::move(*term));
     }
-    if (const Status ordered = put_in_order(terms); !ordered) return tl::unexpected(ordered.error());
+    if (const Status ordered = order_terms(terms); !ordered) return tl::unexpected(ordered.error());
     return terms;
 }
 
@@ -117,7 +117,7 @@
         std::vector<NamedTerm> terms;
         for (; i < all.size() && all[i].account == account; ++i) {
             const Term& term = all[i];
-            // An end that is the next term's beginning is left out.
+            // An end that equals the next term's start is omitted.
             const bool ends =
                 i + 1 == all.size() || all[i + 1].account != account || all[i + 1].since != term.until;
             terms.push_back({schedule.plans[static_cast<std::size_t>(term.plan)].name, term.since,
--- a/src/metering/usage_batch.cpp
+++ b/src/metering/usage_batch.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Which of the row's fields names a prepaid balance.
+// The field of a row that names its prepaid balance.
 const char* balance_field(bool lent) { return lent ? "lent_by" : "reserve"; }
 
 json encode_line(const BatchLine& from) {
--- a/src/metering/usage_batch.h
+++ b/src/metering/usage_batch.h
@@ -1,4 +1,5 @@
-// Batches of the usage export: their encoding as JSON lines under zstd. The encoding is a published format.
+// Batches of the usage export, encoded as JSON lines and compressed with zstd. The encoding is a published
+// format.
 #pragma once
 
 #include <cstdint>
@@ -25,17 +26,17 @@
     std::string ledger_id;
     std::int64_t number = 0;
     std::int64_t rows = 0;
-    std::string previous_checksum;  // of the batch before, to which it is chained; empty: it is the first
+    std::string previous_checksum;  // of the preceding batch, which chains them; empty: it is the first
     Timestamp made{};
-    Milliunits uncertain = 0;  // as LedgerStore::uncertain()
+    Milliunits uncertain = 0;  // see LedgerStore::uncertain()
 };
 
-// A line for each row that has changed since it was last exported.
+// One line of a batch: the change of one row since its last export.
 struct BatchLine {
     std::string account;      // 16 hex digits
     std::string row_name;     // as stored
-    std::string period;       // the instant it begins at
-    bool correction = false;  // of a period that was exported and is closed
+    std::string period;       // the instant at which it begins
+    bool correction = false;  // the row was exported before, and its period is closed
     Usage usage;              // since the last export
 };
 
@@ -47,8 +48,8 @@
     std::string previous_checksum;
     std::vector<BatchLine> lines;
 };
-// kDataLoss: the content cannot be decompressed. Lines that are no JSON objects are read as empty ones, which
-// never add up to what the ledger holds.
+// kDataLoss: the content cannot be decompressed. A line that is not a JSON object is read as an empty one,
+// whose sums then differ from the ledger's.
 Result<DecodedBatch> decode_batch(const std::string& content);
 
 }  // namespace linnetlead::metering
--- a/src/metering/usage_lease.h
+++ b/src/metering/usage_lease.h
@@ -1,6 +1,7 @@
-// A write-ahead lease on forwarded units, so that what a crash leaves unknown is bounded: a limit that
-// lies ahead is on disk early; what is forwarded beyond it while the disk is slow is beyond_limit(). Decides
-// only; LedgerStore writes the limit.
+// A write-ahead lease on forwarded units: it bounds the usage that a crash can leave uncounted. A limit ahead
+// of the forwarded units is written to disk early; beyond_limit() states what was forwarded past that limit
+// because the disk was slow. PlanAccounts counts the units. The class does no I/O; LedgerStore writes the
+// limit.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +13,18 @@
 
 class UsageLease {
 public:
-    // `block`: units by which each limit lies ahead; 0: there is no lease, and nothing is written.
+    // `block`: units by which each limit lies ahead of the forwarded ones; 0: no lease, nothing is written.
     explicit UsageLease(double block) : block_(milliunits(block)) {}
-    // Units about to be forwarded; negative: they were not after all.
+    // Adds units that are about to be forwarded. Negative: these units were not forwarded after all.
     void count(double units) { forwarded_ += milliunits(units); }
-    // The limit to write now: there is one when half of the last block is used up.
+    // The limit to write now, once half of the last block is used up; nothing before.
     std::optional<Milliunits> next_limit() const {
         if (block_ <= 0 || forwarded_ * 2 + block_ < written_ * 2) return std::nullopt;
         return forwarded_ + block_;
     }
-    // The limit is on disk.
+    // Records that `limit` is on disk.
     void on_written(Milliunits limit) { written_ = std::max(written_, limit); }
-    // Forwarded beyond the limit on disk, since the disk is slow: the bound does not hold for so much.
+    // Units forwarded beyond the limit on disk. The bound on uncounted usage does not cover them.
     Milliunits beyond_limit() const {
         return block_ > 0 && forwarded_ > written_ ? forwarded_ - written_ : 0;
     }
--- a/src/metering/usage_ledger.h
+++ b/src/metering/usage_ledger.h
@@ -1,6 +1,6 @@
-// What each account has used of its plan in each period: counted when a request's first attempt is forwarded,
-// corrected by its first good reply. In memory and without I/O; changes are taken out in whole batches by
-// whoever writes them to disk. Sums grow but for corrections, and every figure is this gateway's own: the
+// Usage of each account by plan and period: counted when a request's first attempt is forwarded, corrected by
+// its first successful response. In memory and without I/O; the thread that writes the ledger to disk takes
+// the changes out in batches. Only corrections can lower a sum. All values are of this gateway alone: the
 // group's usage is the sum over its gateways.
 #pragma once
 
@@ -19,8 +19,8 @@
 Milliunits milliunits(double units);
 constexpr double units_of(Milliunits amount) { return static_cast<double>(amount) / 1000; }
 
-// Usage charged to a prepaid balance is counted apart from the plan's, in rows whose stored name is the
-// plan's, a separator and the balance's id. The separators are a stored format.
+// Usage charged to a prepaid balance has rows of its own. Their stored name is the plan's name, a separator
+// and the balance's id. The separators are part of the stored format.
 constexpr char kBalanceSeparator = '\x1f';
 constexpr char kLentSeparator = '\x1e';
 
@@ -59,29 +59,29 @@
 
 class UsageLedger {
 public:
-    // The account that further usage is summed up under once there are max_rows rows.
+    // Stands for all further accounts once there are max_rows rows, and for requests without an account.
     static constexpr AccountId kNoAccount = ~AccountId{0};
 
     struct Limits {
-        std::size_t max_rows = 200'000;  // not yet taken out; bounds memory while the disk is away
+        std::size_t max_rows = 200'000;  // not yet taken out; bounds memory while the disk fails
     };
-    // `period`: in which usage is summed up.
+    // `period`: the length of the periods by which usage is summed.
     UsageLedger(Duration period, Limits limits) : period_(period), limits_(limits) {}
 
-    // A row name's position, which it keeps.
+    // The position of a row name, which is added if it is new. Positions never change.
     std::int32_t name_index(const std::string& name);
     const std::vector<std::string>& names() const { return names_; }
 
-    // A request was first forwarded, with so many estimated units. Returns the key for its correction.
+    // Counts a request that was first forwarded with `units` estimated units. Returns the key for correct().
     UsageKey count(Timestamp now, AccountId account, std::int32_t name, double units);
-    // The request's true units are known, once: `difference` more than estimated. They count in the request's
-    // period.
+    // Corrects a request, once, to its true units: `difference` more than estimated. The correction counts
+    // in the period of the request.
     void correct(const UsageKey& key, double difference);
 
-    // All that has changed since it was taken last.
+    // Takes out all changes since the last time.
     using Changes = std::vector<std::pair<UsageKey, Usage>>;
     Changes take_changes();
-    // What could not be written, to be taken again.
+    // Puts back changes that could not be written; take_changes() returns them again.
     void restore(const Changes& changes);
 
     std::size_t rows() const { return rows_.size(); }
--- a/src/metering/usage_settings.cpp
+++ b/src/metering/usage_settings.cpp
@@ -5,7 +5,7 @@
 namespace linnetlead::metering {
 
 UsageSettings read_usage_settings(const operator_config::Value& document) {
-    // A period of nothing has no number, and an interval of nothing would make batches without end.
+    // A period of 0 would divide by zero, and a batch interval of 0 would make batches without end.
     constexpr std::chrono::nanoseconds kShortestPeriod = std::chrono::seconds(1);
     constexpr std::chrono::nanoseconds kShortestBatchInterval = std::chrono::milliseconds(100);
     UsageSettings usage;
--- a/tests/reserve_test.cpp
+++ b/tests/reserve_test.cpp
@@ -1,6 +1,6 @@
-// Prepaid balances: the leases of several gateways on one modelled counter with every failure of it, the
-// check against the capacity, and the whole path through request manager and decision module in virtual time
-// and on sockets.
+// Prepaid balances: the leases of several gateways on one simulated counter and its failures, the check
+// against the fleet's capacity, and the whole path through request manager and decision module, in virtual
+// time and on sockets.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -34,38 +34,39 @@
     return one;
 }
 
-// Leases of several gateways on one counter, 3 ms away. A silent counter is given up after 80 ms, and may
-// have added all the same.
+// Leases of several gateways on one counter that replies after 3 ms. An unresponsive counter times out after
+// 80 ms, and may have added the units all the same.
 struct LeaseHolders {
     LeaseHolders(PrepaidBalance of, int gateways, std::uint64_t seed = 1)
-        : reserve(std::move(of)), random(seed) {
+        : balance(std::move(of)), random(seed) {
         for (int i = 0; i < gateways; ++i) nodes.emplace_back();
-        for (int i = 0; i < gateways; ++i) begin(i);
+        for (int i = 0; i < gateways; ++i) start(i);
     }
     struct Node {
         std::unique_ptr<BalanceLease> lease;
-        double calls_per_s = 0;
-        int life = 0;
+        double requests_per_s = 0;
+        int incarnation = 0;
         Duration skew{};
     };
     struct Reply {
         std::size_t node = 0;
-        int life = 0;
+        int incarnation = 0;
         std::string name;
         bool good = false;
         double total = 0;
     };
-    void begin(int i) {
+    void start(int i) {
         Node& node = nodes[static_cast<std::size_t>(i)];
-        const int life = ++node.life;
+        const int incarnation = ++node.incarnation;
         node.lease = std::make_unique<BalanceLease>(
-            reserve, static_cast<int>(nodes.size()), 4,
-            [this, i, life](const std::string& name, double amount, Duration keep) {
+            balance, static_cast<int>(nodes.size()), 4,
+            [this, i, incarnation](const std::string& name, double amount, Duration keep) {
                 EXPECT_LE(name.size(), 64u);
-                const bool heard = counter.mood == CounterModel::Mood::kWell || random() % 2 == 0;
-                const auto total = heard ? counter.tally(now, name, amount, keep) : std::nullopt;
-                replies.emplace(now + (total ? 3ms : 80ms), Reply{static_cast<std::size_t>(i), life, name,
-                                                                  total.has_value(), total.value_or(0)});
+                const bool received = counter.mood == CounterModel::Mood::kWell || random() % 2 == 0;
+                const auto total = received ? counter.tally(now, name, amount, keep) : std::nullopt;
+                replies.emplace(now + (total ? 3ms : 80ms),
+                                Reply{static_cast<std::size_t>(i), incarnation, name, total.has_value(),
+                                      total.value_or(0)});
             });
     }
     void kill(int i) { nodes[static_cast<std::size_t>(i)].lease.reset(); }
@@ -75,99 +76,102 @@
                 const Reply reply = replies.begin()->second;
                 replies.erase(replies.begin());
                 Node& node = nodes[reply.node];
-                if (!node.lease || node.life != reply.life) continue;
+                if (!node.lease || node.incarnation != reply.incarnation) continue;
                 EXPECT_TRUE(
                     node.lease->on_counter_reply(now + node.skew, reply.name, reply.good, reply.total));
             }
             for (Node& node : nodes) {
                 if (!node.lease) continue;
                 if (now / 5ms % 10 == 0) node.lease->tick(now + node.skew);
-                if (std::uniform_real_distribution<double>(0, 1)(random) < node.calls_per_s * 0.005) {
+                if (std::uniform_real_distribution<double>(0, 1)(random) < node.requests_per_s * 0.005) {
                     const double units = static_cast<double>(1 + random() % 4);
-                    asked += units;
-                    if (node.lease->charge(now + node.skew, units)) paid += units;
+                    requested_units += units;
+                    if (node.lease->charge(now + node.skew, units)) charged_units += units;
                 }
-                if (borrowing > 0 && std::uniform_real_distribution<double>(0, 1)(random) <
-                                         borrowing / static_cast<double>(nodes.size()) * 0.005) {
+                if (borrowed_requests_per_s > 0 &&
+                    std::uniform_real_distribution<double>(0, 1)(random) <
+                        borrowed_requests_per_s / static_cast<double>(nodes.size()) * 0.005) {
                     if (node.lease->lend(now + node.skew, 1)) lent += 1;
                 }
             }
         }
     }
-    PrepaidBalance reserve;
+    PrepaidBalance balance;
     std::mt19937_64 random;
     CounterModel counter;
     Timestamp now = kStart;
     std::vector<Node> nodes;
     std::multimap<Timestamp, Reply> replies;
-    double asked = 0, paid = 0, lent = 0, borrowing = 0;
+    double requested_units = 0, charged_units = 0, lent = 0, borrowed_requests_per_s = 0;
 };
 
-TEST(BalanceLease, AllOfTheReserveIsThereAtItsInstantWhereverItIsAsked) {
+TEST(BalanceLease, MakesTheWholeBalanceAvailableFromItsStartAtAnyGateway) {
     LeaseHolders holders(balance_of(1000, 7s, 30s), 4);
-    holders.nodes[2].calls_per_s = 150;
+    holders.nodes[2].requests_per_s = 150;
     holders.run(6990ms);
-    EXPECT_EQ(holders.paid, 0);
-    holders.run(1s);  // an eighth of the reserve is at hand here, and claims bring more
-    EXPECT_GE(holders.paid, 300);
+    EXPECT_EQ(holders.charged_units, 0);
+    holders.run(1s);  // an eighth of the balance is available here, and reservations add more
+    EXPECT_GE(holders.charged_units, 300);
     holders.run(14s);
-    EXPECT_GE(holders.paid, 996);  // what is left is less than one call
-    EXPECT_LE(holders.paid, 1000);
+    EXPECT_GE(holders.charged_units, 996);  // the rest is less than one request
+    EXPECT_LE(holders.charged_units, 1000);
 }
 
-// Slow use over ten epochs: the sum is carried from one to the next, also to a gateway that starts between.
-TEST(BalanceLease, TheSumIsCarriedOverEpochsAndThroughKills) {
+// Slow use over ten epochs: the sum carries over from each epoch to the next, also to a gateway that starts
+// in between.
+TEST(BalanceLease, CarriesTheSumOverEpochsAndGatewayRestarts) {
     LeaseHolders holders(balance_of(600, 3s, 200s), 4);
-    for (auto& node : holders.nodes) node.calls_per_s = 0.9;
+    for (auto& node : holders.nodes) node.requests_per_s = 0.9;
     holders.run(50s);
     holders.kill(1);
     holders.run(13s);
-    holders.begin(1);
+    holders.start(1);
     holders.run(30s);
     EXPECT_TRUE(holders.nodes[1].lease->state().known);
-    const double claimed = holders.nodes[0].lease->state().reserved;
-    EXPECT_NEAR(holders.nodes[1].lease->state().reserved, claimed, 12);
-    EXPECT_GT(claimed, 300);
-    for (auto& node : holders.nodes) node.calls_per_s = 20;
+    const double reserved = holders.nodes[0].lease->state().reserved;
+    EXPECT_NEAR(holders.nodes[1].lease->state().reserved, reserved, 12);
+    EXPECT_GT(reserved, 300);
+    for (auto& node : holders.nodes) node.requests_per_s = 20;
     holders.run(107s);
-    EXPECT_LE(holders.paid, 600);
-    EXPECT_GE(holders.paid,
-              600 - 16);  // what the killed one had at hand, at most two seconds' worth, is lost
+    EXPECT_LE(holders.charged_units, 600);
+    EXPECT_GE(holders.charged_units,
+              600 - 16);  // the units of the killed gateway, at most two seconds' demand, are lost
 }
 
-TEST(BalanceLease, WithASilentCounterItPaysFromWhatIsAtHandAndNeverMore) {
+TEST(BalanceLease, ChargesOnlyAvailableUnitsWhileTheCounterIsUnresponsive) {
     LeaseHolders holders(balance_of(800, 3s, 100s), 4);
-    for (auto& node : holders.nodes) node.calls_per_s = 10;
+    for (auto& node : holders.nodes) node.requests_per_s = 10;
     holders.run(2500ms);
     holders.counter.mood = CounterModel::Mood::kSilent;
     holders.run(3s);
-    EXPECT_GT(holders.paid, 200);  // the instant fell into the silence
-    holders.run(20s);              // and an epoch's edge
-    EXPECT_LE(holders.paid, 400);
+    EXPECT_GT(holders.charged_units, 200);  // the balance started while the counter did not reply
+    holders.run(20s);                       // an epoch ends meanwhile too
+    EXPECT_LE(holders.charged_units, 400);
     holders.counter.mood = CounterModel::Mood::kWell;
     holders.run(30s);
-    EXPECT_LE(holders.paid, 800);
-    EXPECT_GE(holders.paid, 700);  // a claim that was lost with the counter is nobody's
+    EXPECT_LE(holders.charged_units, 800);
+    EXPECT_GE(holders.charged_units, 700);  // units of a lost reservation are usable by nobody
 }
 
-// What others claimed since the last look is not known to all: at most two seconds' worth of demand over.
-TEST(BalanceLease, ACounterThatComesBackEmptyGrantsNothingAgain) {
+// Guards against a second grant of all units after the counter restarts empty. Reservations since a gateway's
+// last read are unknown to it: at most two seconds' demand may be granted on top.
+TEST(BalanceLease, DoesNotGrantUnitsAgainAfterACounterReset) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         LeaseHolders holders(balance_of(900, 3s, 55s), 4, seed);
-        for (auto& node : holders.nodes) node.calls_per_s = 8;
+        for (auto& node : holders.nodes) node.requests_per_s = 8;
         holders.run(8s + std::chrono::milliseconds(holders.random() % 5000));
         holders.counter.forget();
         holders.run(30s);
         EXPECT_GE(holders.nodes[0].lease->state().counter_resets, 1u);
-        EXPECT_LE(holders.paid, 900 + 80 * 2) << seed;
+        EXPECT_LE(holders.charged_units, 900 + 80 * 2) << seed;
     }
 }
 
-TEST(BalanceLease, HoldsThroughRandomKillsSilencesAndClocksApart) {
+TEST(BalanceLease, NeverExceedsTheBalanceThroughRestartsTimeoutsAndClockSkew) {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         LeaseHolders holders(balance_of(700, 3s, 90s), 3, seed);
         for (auto& node : holders.nodes) {
-            node.calls_per_s = static_cast<double>(holders.random() % 12);
+            node.requests_per_s = static_cast<double>(holders.random() % 12);
             node.skew = std::chrono::milliseconds(holders.random() % 200);
         }
         for (int turn = 0; turn < 30; ++turn) {
@@ -176,7 +180,7 @@
                 case 0:
                     holders.kill(one);
                     holders.run(std::chrono::milliseconds(holders.random() % 2000));
-                    holders.begin(one);
+                    holders.start(one);
                     break;
                 case 1:
                     holders.counter.mood = CounterModel::Mood::kSilent;
@@ -184,19 +188,19 @@
                     holders.counter.mood = CounterModel::Mood::kWell;
                     break;
                 default:
-                    holders.nodes[static_cast<std::size_t>(one)].calls_per_s =
+                    holders.nodes[static_cast<std::size_t>(one)].requests_per_s =
                         static_cast<double>(holders.random() % 30);
             }
             holders.run(std::chrono::milliseconds(holders.random() % 3000));
         }
-        EXPECT_LE(holders.paid, 700) << seed;
+        EXPECT_LE(holders.charged_units, 700) << seed;
     }
 }
 
-// Four leases through restarts, silences of the counter, its loss and a change of figures, in virtual time.
-// The digest is over every add, every reply's use and every grant, and was taken from the program before the
-// renaming of its code: another one means that gateways of both releases no longer draw on a balance by the
-// same rules.
+// Four leases in virtual time through restarts, timeouts of the counter, its reset and a changed balance. The
+// digest covers every add, the use of every reply and every grant. It was taken from the previous release,
+// before its code was renamed: a different digest means that gateways of both releases no longer draw on a
+// balance by the same rules.
 class RecordedRun {
 public:
     explicit RecordedRun(std::uint64_t seed) : seed_(seed), random_(seed), nodes_(4) {
@@ -256,9 +260,9 @@
                 std::snprintf(text, sizeof(text), "%lld %d %s %.17g", static_cast<long long>(now_.count()),
                               static_cast<int>(i), name.c_str(), amount);
                 mix(text);
-                const bool heard = !silent_ || random_() % 2 == 0;
-                const double total = heard ? totals_[name] += amount : 0;
-                const bool ok = heard && !silent_;
+                const bool received = !silent_ || random_() % 2 == 0;
+                const double total = received ? totals_[name] += amount : 0;
+                const bool ok = received && !silent_;
                 replies_.emplace(now_ + (ok ? 3ms : 80ms), Reply{i, incarnation, name, ok, total});
             });
     }
@@ -306,18 +310,19 @@
     std::uint64_t digest_ = 14695981039346656037ULL;
 };
 
-TEST(BalanceLease, ReservesAndGrantsAsTheReleaseBeforeInARecordedRun) {
+TEST(BalanceLease, ReservesAndGrantsLikeThePreviousRelease) {
     EXPECT_EQ(RecordedRun(1).digest(), 0x732b96382eb12c97U);
     EXPECT_EQ(RecordedRun(7).digest(), 0x98844917f2d2b94aU);
     EXPECT_EQ(RecordedRun(42).digest(), 0x6ccf27002edb055dU);
 }
 
-// The owner is idle, then wants all it still can have; the others get what it no longer can, bit by bit.
-TEST(BalanceLease, WhatTheOwnerCanNoLongerUseGoesToOthersWithoutACliff) {
+// The owner is idle and later requests all that it can still use. Meanwhile other tenants get gradually what
+// it cannot use up any more.
+TEST(BalanceLease, LendsGraduallyWhatTheOwnerCannotUseUp) {
     PrepaidBalance one = balance_of(1000, 3s, 50s);
     one.max_rate = 25;
     LeaseHolders holders(one, 4);
-    holders.borrowing = 60;
+    holders.borrowed_requests_per_s = 60;
     holders.run(3s);
     double most = 0;
     for (int second = 0; second < 25; ++second) {
@@ -325,54 +330,54 @@
         holders.run(1s);
         most = std::max(most, holders.lent - before);
     }
-    // 1250 could be used at the pace, so the first 200 units of time passed cost the owner nothing.
+    // 1250 units could be used at max_rate, so the time of the first 200 costs the owner nothing.
     EXPECT_GT(holders.lent, 200);
     EXPECT_LE(holders.lent, 1000 - 25 * 25 + 50);
     EXPECT_LE(most, 25 * 2.5);
-    holders.nodes[0].calls_per_s = 40;
+    holders.nodes[0].requests_per_s = 40;
     holders.run(26s);
-    EXPECT_GE(holders.paid, 25 * 25 * 0.85);
-    EXPECT_LE(holders.paid + holders.lent, 1000);
+    EXPECT_GE(holders.charged_units, 25 * 25 * 0.85);
+    EXPECT_LE(holders.charged_units + holders.lent, 1000);
     one.lend = false;
     LeaseHolders keeps(one, 4);
-    keeps.borrowing = 60;
+    keeps.borrowed_requests_per_s = 60;
     keeps.run(40s);
     EXPECT_EQ(keeps.lent, 0);
 }
 
-TEST(BalanceLease, FiguresChangeUnderWayAndWhatWasClaimedStaysClaimed) {
+TEST(BalanceLease, KeepsReservationsWhenTheBalanceChanges) {
     LeaseHolders holders(balance_of(400, 3s, 30s), 2);
-    for (auto& node : holders.nodes) node.calls_per_s = 60;
+    for (auto& node : holders.nodes) node.requests_per_s = 60;
     holders.run(12s);
-    EXPECT_GE(holders.paid, 390);
+    EXPECT_GE(holders.charged_units, 390);
     const auto change = [&](double units, Duration length) {
-        holders.reserve = balance_of(units, 3s, length);
-        for (auto& node : holders.nodes) node.lease->update(holders.reserve);
+        holders.balance = balance_of(units, 3s, length);
+        for (auto& node : holders.nodes) node.lease->update(holders.balance);
     };
     change(700, 60s);  // more, and longer
     holders.run(10s);
-    EXPECT_GE(holders.paid, 690);
-    EXPECT_LE(holders.paid, 700);
+    EXPECT_GE(holders.charged_units, 690);
+    EXPECT_LE(holders.charged_units, 700);
     change(900, 60s);
     holders.run(1s);
-    change(900, 24s);  // released early: from here on nothing
+    change(900, 24s);  // ends early: nothing is charged from here on
     holders.run(1s);
-    const double paid = holders.paid;
+    const double charged_units = holders.charged_units;
     holders.run(5s);
-    EXPECT_EQ(holders.paid, paid);
+    EXPECT_EQ(holders.charged_units, charged_units);
 }
 
-// Overlapping ones are used up in the order of their ends; one that is taken out ends at once, and goes on
-// where it was when it is put back.
-TEST(PrepaidBalances, OverlapAreCancelledAndComeBack) {
+// Overlapping balances are used up in the order of their ends. A balance that is removed ends at once; when
+// it is added again, its reservations still count.
+TEST(PrepaidBalances, ChargesTheFirstEndingBalanceAndResumesARestoredOne) {
     CounterModel counter;
     Timestamp now = kStart;
     std::multimap<Timestamp, std::pair<std::string, double>> replies;
-    PrepaidBalances balances(1, 4, [&](const std::string& name, double amount, Duration life) {
-        replies.emplace(now + 3ms, std::pair(name, *counter.tally(now, name, amount, life)));
+    PrepaidBalances balances(1, 4, [&](const std::string& name, double amount, Duration lifetime) {
+        replies.emplace(now + 3ms, std::pair(name, *counter.tally(now, name, amount, lifetime)));
     });
     const auto run = [&](Duration time, int calls, AccountId account) {
-        std::map<std::string, int> paid;
+        std::map<std::string, int> charged_units;
         for (const Timestamp end = now + time; now < end; now += 5ms) {
             while (!replies.empty() && replies.begin()->first <= now) {
                 const auto [name, total] = replies.begin()->second;
@@ -382,32 +387,32 @@
             if (now / 5ms % 10 == 0) balances.tick(now);
             if (now / 5ms % 4 != 0 || calls <= 0) continue;
             const auto one = balances.charge(now, account, 1);
-            if (one && --calls >= 0) ++paid[balances.find(one->lease)->balance().id];
+            if (one && --calls >= 0) ++charged_units[balances.find(one->lease)->balance().id];
         }
-        return paid;
+        return charged_units;
     };
     PrepaidBalance late = balance_of(100, 3s, 60s), soon = balance_of(50, 3s, 30s);
     soon.id = "soon";
     balances.update({late, soon});
     run(3s, 0, 7);
-    auto paid = run(1s, 30, 7);
-    EXPECT_EQ(paid["soon"], 30);
-    EXPECT_EQ(run(1s, 10, 8).size(), 0u);  // another's account
-    paid = run(4s, 60, 7);
-    EXPECT_EQ(paid["soon"], 20);
-    EXPECT_EQ(paid["tender"], 40);
+    auto charged_units = run(1s, 30, 7);
+    EXPECT_EQ(charged_units["soon"], 30);
+    EXPECT_EQ(run(1s, 10, 8).size(), 0u);  // another account
+    charged_units = run(4s, 60, 7);
+    EXPECT_EQ(charged_units["soon"], 20);
+    EXPECT_EQ(charged_units["tender"], 40);
     balances.update({});
     EXPECT_EQ(run(1s, 50, 7).size(), 0u);
     balances.update({late});
-    paid = run(12s, 500, 7);
-    // What was at hand as it was taken out is gone: two seconds of demand at most.
-    EXPECT_LE(paid["tender"], 60);
-    EXPECT_GE(paid["tender"], 1);
+    charged_units = run(12s, 500, 7);
+    // Units available when the balance was removed are lost: at most two seconds' demand.
+    EXPECT_LE(charged_units["tender"], 60);
+    EXPECT_GE(charged_units["tender"], 1);
 }
 
-// ---- Admission ------------------------------------------------------------------------------------------
+// ---- Capacity -------------------------------------------------------------------------------------------
 
-TEST(Capacity, AReserveThatDoesNotFitIsFoundAsByTryingEveryInstant) {
+TEST(Capacity, FindsTheSameOvercommitmentAsACheckOfEveryInstant) {
     std::mt19937_64 random(3);
     int rejected = 0;
     for (int round = 0; round < 300; ++round) {
@@ -442,7 +447,7 @@
     EXPECT_LT(rejected, 270);
 }
 
-TEST(Capacity, EveryMistakeIsToldAtItsPlace) {
+TEST(Capacity, ReportsEachMistakeWithItsPosition) {
     const std::string plan = "p = plan(\"p\", rate = per_second(10), burst = 20)\n";
     const std::string fleet = "capacity(per_second(100))\n";
     const std::string window =
@@ -452,7 +457,7 @@
         std::string text, said;
     };
     const std::vector<Case> cases{
-        {good, "f:1:1: a reserve wants the fleet's capacity stated"},
+        {good, "f:1:1: a reserve requires the fleet's capacity to be stated"},
         {fleet + good + good, "f:3:1: there is a reserve 'a' already"},
         {fleet + "reserve(\"a\", account = \"7\", units = 3000, " + window + ")\n",
          "f:2:24: an account is 16"},
@@ -464,15 +469,15 @@
         {fleet + "reserve(\"a\", account = \"0000000000000007\", units = 3000, pace = per_second(49), " +
              window + ")\n",
          "at this pace the units cannot be used"},
-        // 60 of 100 by a reserve of 50 and a plan of 10, then one more of 50.
+        // A balance of 50 and a plan of 10 commit 60 of 100; then one more balance of 50.
         {plan + "account(\"0000000000000007\", plan = p)\n" + fleet + good +
              "reserve(\"b\", account = \"0000000000000008\", units = 3000, " + window + ")\n",
          "f:5:1: 110 units/s would be committed at 2026-12-01T10:00:00Z, over the capacity of 100"}};
     const auto read = [](const std::string& text) -> std::string {
         const operator_config::Result document = operator_config::read_document(text, "f");
         if (const auto* problem = std::get_if<Problem>(&document)) return problem->line();
-        const auto book = read_plan_schedule(std::get<operator_config::Value>(document), "f", nullptr);
-        const auto* problem = std::get_if<Problem>(&book);
+        const auto schedule = read_plan_schedule(std::get<operator_config::Value>(document), "f", nullptr);
+        const auto* problem = std::get_if<Problem>(&schedule);
         return problem ? problem->line() : "";
     };
     EXPECT_EQ(read(plan + "capacity(per_second(100), plans = percent(50))\n" + good), "");
@@ -480,58 +485,59 @@
         EXPECT_NE(read(one.text).find(one.said), std::string::npos) << read(one.text);
 }
 
-// ---- Through core and module ----------------------------------------------------------------------------
+// ---- Through request manager and decision module --------------------------------------------------------
 
 constexpr AccountId kOwner = 0x777;
 
-// Every other account asks for seven times its quota; the owner has its plan's and the reserve's units.
-TEST(PrepaidBalance, IsGrantedInFullWhileOthersAskForSevenTimesTheirQuota) {
+// Every other account requests seven times its quota; the owner gets the units of its plan and of the
+// balance.
+TEST(PrepaidBalance, IsGrantedInFullWhileOthersRequestSevenTimesTheirQuota) {
     test_support::SimulatedGatewaysSettings settings;
     settings.gateways = 4;
     settings.calls_per_s = 20;
     settings.seed = 5;
-    SimulatedGateways world(settings);
-    for (int i = 0; i < 6; ++i) world.add_endpoint("w" + std::to_string(i), "std", {});
-    world.tell_list();
-    auto book = std::make_shared<PlanSchedule>();
+    SimulatedGateways gateways(settings);
+    for (int i = 0; i < 6; ++i) gateways.add_endpoint("w" + std::to_string(i), "std", {});
+    gateways.tell_list();
+    auto schedule = std::make_shared<PlanSchedule>();
     policy::RatePlanSettings plan;
     plan.name = plan.tag = "small";
     plan.rate = 10;
     plan.burst = 20;
-    book->plans = {plan};
+    schedule->plans = {plan};
     for (AccountId account : {kOwner, AccountId{0x801}, AccountId{0x802}, AccountId{0x803}}) {
-        book->terms.push_back({account, 0, Timestamp{0}, kForever});
+        schedule->terms.push_back({account, 0, Timestamp{0}, kForever});
     }
     PrepaidBalance one;
     one.id = "tender";
     one.account = kOwner;
     one.units = 1200;
-    one.since = world.now() + 30s;
+    one.since = gateways.now() + 30s;
     one.until = one.since + 12s;
-    book->balances = {one};
-    world.take_book(book);
-    std::map<AccountId, double> before, within;
-    world.first_sent = [&](Timestamp now, AccountId account, double units) {
-        (now < one.since ? before : within)[account] += units;
+    schedule->balances = {one};
+    gateways.take_book(schedule);
+    std::map<AccountId, double> before, forwarded;
+    gateways.first_sent = [&](Timestamp now, AccountId account, double units) {
+        (now < one.since ? before : forwarded)[account] += units;
     };
     for (AccountId account : {AccountId{0x801}, AccountId{0x802}, AccountId{0x803}}) {
-        world.ask_much(account, 28);  // 70 units a second
+        gateways.ask_much(account, 28);  // 70 units a second
     }
-    world.load(true);
-    world.run_for(30s);
-    world.ask_much(kOwner, 120);  // 300 units a second
-    world.run_for(12s);
-    // The store and twelve seconds of the plan come on top.
-    EXPECT_GE(within[kOwner], 1200);
-    EXPECT_LE(within[kOwner], 1200 + 20 + 12 * 10 + 40);
+    gateways.load(true);
+    gateways.run_for(30s);
+    gateways.ask_much(kOwner, 120);  // 300 units a second
+    gateways.run_for(12s);
+    // The plan's burst and twelve seconds of its rate are added.
+    EXPECT_GE(forwarded[kOwner], 1200);
+    EXPECT_LE(forwarded[kOwner], 1200 + 20 + 12 * 10 + 40);
     for (AccountId account : {AccountId{0x801}, AccountId{0x802}, AccountId{0x803}}) {
-        EXPECT_LE(within[account], 12 * 10 + 40) << account;  // theirs is what it was
-        EXPECT_GE(within[account], 12 * 10 * 0.7) << account;
+        EXPECT_LE(forwarded[account], 12 * 10 + 40) << account;  // their quota is unchanged
+        EXPECT_GE(forwarded[account], 12 * 10 * 0.7) << account;
     }
-    // Counted apart, and no more than there was.
+    // Usage of the balance has rows of its own and does not exceed the balance.
     double apart = 0;
     for (int i = 0; i < 4; ++i) {
-        UsageLedger& ledger = world.accounts(i)->ledger();
+        UsageLedger& ledger = gateways.accounts(i)->ledger();
         for (const auto& [key, use] : ledger.take_changes()) {
             const RowName name = decode_row_name(ledger.names()[static_cast<std::size_t>(key.name)]);
             if (name.balance == "tender") apart += units_of(use.estimated);
@@ -539,63 +545,63 @@
     }
     EXPECT_LE(apart, 1200);
     EXPECT_GE(apart, 1200 - 8);
-    EXPECT_EQ(world.tally.answered_twice, 0u);
-    const double after = within[kOwner];
-    world.run_for(10s);  // over: its plan's quota again
-    EXPECT_LE(within[kOwner] - after, 10 * 10 + 40);
+    EXPECT_EQ(gateways.tally.answered_twice, 0u);
+    const double after = forwarded[kOwner];
+    gateways.run_for(10s);  // the balance has ended: only the plan's quota is left
+    EXPECT_LE(forwarded[kOwner] - after, 10 * 10 + 40);
 }
 
-TEST(PrepaidBalance, OnRealGatewaysItIsPaidBilledApartAndSurvivesAKill) {
+TEST(PrepaidBalance, IsGrantedAndBilledSeparatelyByGatewayProcessesThroughAKill) {
     test_support::FakePlatformSettings settings;
     settings.program = LINNETLEAD_PROGRAM;
     settings.gateways = 3;
     settings.calls_per_s = 20;
     settings.tenants = 3;
     settings.operators = "pool(\"none\", ids = [\"none\"])\n";
-    FakePlatform town(settings);
-    for (int i = 0; i < 4; ++i) town.add_endpoint("w" + std::to_string(i), "std", {}).figures.cores = 4;
-    const Timestamp since = std::chrono::ceil<std::chrono::seconds>(town.now() + 4s);
-    const auto book = [&](int units, Duration length) {
+    FakePlatform platform(settings);
+    for (int i = 0; i < 4; ++i) platform.add_endpoint("w" + std::to_string(i), "std", {}).figures.cores = 4;
+    const Timestamp since = std::chrono::ceil<std::chrono::seconds>(platform.now() + 4s);
+    const auto schedule = [&](int units, Duration length) {
         return "p = plan(\"p\", rate = per_second(10), burst = 10)\naccount(\"0000000000000777\", plan = p)\n"
                "capacity(per_second(1000))\nreserve(\"tender\", account = \"0000000000000777\", units = " +
                std::to_string(units) + ", since = instant(\"" + write_instant(since) +
                "\"), until = instant(\"" + write_instant(since + length) +
-               "\"))\nusage(every = ms(300), receiver = \"" + town.receiver_address() + "\")\n";
+               "\"))\nusage(every = ms(300), receiver = \"" + platform.receiver_address() + "\")\n";
     };
-    town.settings().operators = book(300, 20s);
-    town.start();
-    town.load(true);
-    double within = 0;
-    town.first_sent = [&](Timestamp, AccountId account, double units) {
-        if (account == kOwner) within += units;
+    platform.settings().operators = schedule(300, 20s);
+    platform.start();
+    platform.load(true);
+    double forwarded = 0;
+    platform.first_sent = [&](Timestamp, AccountId account, double units) {
+        if (account == kOwner) forwarded += units;
     };
-    town.run_until([&] { return town.now() >= since; }, 10s);
-    town.ask_much(kOwner, 100);
-    town.run_for(2s);
-    // The reserve holds true units: those of the calls that were answered. The clients' guesses of them are
-    // off by 1.6 a call, by 30 over 300.
-    EXPECT_GE(units_of(town.seen[kOwner].estimated + town.seen[kOwner].corrected), 290)
-        << within << " guessed";
-    EXPECT_LE(within, 300 + 10 + 2 * 10 + 15 + 60);
-    town.operate(book(600, 20s));  // extended
-    town.run_for(1s);
-    town.kill(1);
-    town.start_again(1);
-    town.run_for(4s);
-    EXPECT_LE(within, 600 + 10 + 8 * 10 + 15 + 100);
-    EXPECT_GE(within, 500);
-    town.operate(book(900, 5s));  // more, but over by now
-    const double paid = within;
-    town.run_for(3s);
-    EXPECT_LE(within - paid, 3 * 10 + 30);
-    town.ask_much(kOwner, 0);
-    town.load(false);
-    town.run_for(3s);
-    EXPECT_EQ(town.audit.broken(), "");
-    // The receiver has the reserve's use beside the plan's.
-    const Usage use = town.receipts.sum_of_reserve("tender");
+    platform.run_until([&] { return platform.now() >= since; }, 10s);
+    platform.ask_much(kOwner, 100);
+    platform.run_for(2s);
+    // The balance is charged the true units of the answered requests. The clients' estimates are off by 1.6 a
+    // request, by 30 over 300.
+    EXPECT_GE(units_of(platform.seen[kOwner].estimated + platform.seen[kOwner].corrected), 290)
+        << forwarded << " estimated";
+    EXPECT_LE(forwarded, 300 + 10 + 2 * 10 + 15 + 60);
+    platform.operate(schedule(600, 20s));  // extended
+    platform.run_for(1s);
+    platform.kill(1);
+    platform.start_again(1);
+    platform.run_for(4s);
+    EXPECT_LE(forwarded, 600 + 10 + 8 * 10 + 15 + 100);
+    EXPECT_GE(forwarded, 500);
+    platform.operate(schedule(900, 5s));  // more units, but the balance has ended
+    const double forwarded_before = forwarded;
+    platform.run_for(3s);
+    EXPECT_LE(forwarded - forwarded_before, 3 * 10 + 30);
+    platform.ask_much(kOwner, 0);
+    platform.load(false);
+    platform.run_for(3s);
+    EXPECT_EQ(platform.audit.broken(), "");
+    // The receiver has the balance's usage separate from the plan's.
+    const Usage use = platform.receipts.sum_of_reserve("tender");
     const double apart = units_of(use.estimated + use.corrected);
-    EXPECT_LE(apart, 600 + 3 * 8);  // the last calls may have cost more than they said
+    EXPECT_LE(apart, 600 + 3 * 8);  // the last requests may have cost more than estimated
     EXPECT_GE(apart, 400);
 }
 
