--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -1,5 +1,5 @@
-// Plans and use on real gateway processes: changes by file and signal under load, the export among a receiver
-// that does everything wrong, gateways killed, and a ledger's file that cannot be used.
+// Rate plans and usage on gateway processes: plan changes by file and signal under load, the export to a
+// faulty receiver, killed gateways, and a ledger file that cannot be used.
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -22,17 +22,18 @@
 
 constexpr int kTenants = 6;
 
-struct Folder {
-    Folder() : path(test_support::temporary_path("folder")) { mkdir(path.c_str(), 0755); }
-    ~Folder() {
+struct TemporaryDirectory {
+    TemporaryDirectory() : path(test_support::temporary_path("folder")) { mkdir(path.c_str(), 0755); }
+    ~TemporaryDirectory() {
         const std::string command = "rm -r '" + path + "'";
         EXPECT_EQ(std::system(command.c_str()), 0);
     }
     std::string path;
 };
 
-// Every account on `plan` from `since` on, and on the other one before.
-std::string book(const std::string& usage, const std::string& plan = "small", proxy::Timestamp since = {}) {
+// The operators' document: every account is on `plan` from `since` on, and on the other plan before.
+std::string operators_document(const std::string& usage, const std::string& plan = "small",
+                               proxy::Timestamp since = {}) {
     std::string text =
         "plan(\"small\", rate = per_second(15), burst = 15)\nplan(\"large\", rate = per_second(60), burst = "
         "60)\n"
@@ -51,9 +52,9 @@
     return text;
 }
 
-struct Rig {
-    explicit Rig(const std::string& more, bool on_disk = true, double calls_per_s = 60)
-        : town([&] {
+struct UsageFixture {
+    explicit UsageFixture(const std::string& more, bool on_disk = true, double calls_per_s = 60)
+        : platform([&] {
               test_support::FakePlatformSettings settings;
               settings.program = LINNETLEAD_PROGRAM;
               settings.gateways = 2;
@@ -62,56 +63,57 @@
               settings.operators = "pool(\"none\", ids = [\"none\"])\n";
               return settings;
           }()) {
-        for (int i = 0; i < 4; ++i) town.add_endpoint("w" + std::to_string(i), "std", {}).figures.cores = 4;
-        usage = "receiver = \"" + town.receiver_address() + "\", every = ms(300), period = seconds(2)" +
-                (on_disk ? ", ledger = \"" + folder.path + "/{gateway}.db\"" : "") + more;
-        town.settings().operators = book(usage);
-        town.start();
-        town.load(true);
+        for (int i = 0; i < 4; ++i)
+            platform.add_endpoint("w" + std::to_string(i), "std", {}).figures.cores = 4;
+        usage = "receiver = \"" + platform.receiver_address() + "\", every = ms(300), period = seconds(2)" +
+                (on_disk ? ", ledger = \"" + directory.path + "/{gateway}.db\"" : "") + more;
+        platform.settings().operators = operators_document(usage);
+        platform.start();
+        platform.load(true);
     }
-    // All that the endpoints saw is billed, to the unit, with nothing beside it.
+    // Whether the billed usage is exactly the usage that the endpoints saw.
     bool all_billed() {
-        for (const auto& [account, use] : town.seen) {
-            if (!(town.receipts.sum(account) == use)) return false;
+        for (const auto& [account, use] : platform.seen) {
+            if (!(platform.receipts.sum(account) == use)) return false;
         }
         return true;
     }
     void finish() {
-        town.load(false);
-        EXPECT_TRUE(town.run_until([&] { return all_billed(); }, 30s));
-        EXPECT_EQ(town.audit.broken(), "");
-        EXPECT_EQ(town.receipts.other_content, 0u);
-        EXPECT_EQ(town.receipts.spoilt, 0u);
+        platform.load(false);
+        EXPECT_TRUE(platform.run_until([&] { return all_billed(); }, 30s));
+        EXPECT_EQ(platform.audit.broken(), "");
+        EXPECT_EQ(platform.receipts.other_content, 0u);
+        EXPECT_EQ(platform.receipts.spoilt, 0u);
     }
-    Folder folder;
+    TemporaryDirectory directory;
     std::string usage;
-    FakePlatform town;
+    FakePlatform platform;
 };
 
-TEST(Usage, PlansChangeUnderLoadAndEveryUnitIsBilledOnce) {
-    Rig rig("");
-    rig.town.run_for(2s);
+TEST(Usage, BillsEveryUnitOnceWhilePlansChangeUnderLoad) {
+    UsageFixture fixture("");
+    fixture.platform.run_for(2s);
     std::string plan = "large";
     for (int change = 0; change < 4; ++change) {
-        rig.town.operate(
-            book(rig.usage, plan, std::chrono::ceil<std::chrono::seconds>(rig.town.now() + 300ms)));
-        rig.town.run_for(2s);
+        fixture.platform.operate(operators_document(
+            fixture.usage, plan, std::chrono::ceil<std::chrono::seconds>(fixture.platform.now() + 300ms)));
+        fixture.platform.run_for(2s);
         plan = plan == "large" ? "small" : "large";
     }
-    rig.finish();
+    fixture.finish();
     metering::Usage small, large;
     for (int account = 1; account <= kTenants; ++account) {
-        small += rig.town.receipts.sum(static_cast<metering::AccountId>(account), "small");
-        large += rig.town.receipts.sum(static_cast<metering::AccountId>(account), "large");
+        small += fixture.platform.receipts.sum(static_cast<metering::AccountId>(account), "small");
+        large += fixture.platform.receipts.sum(static_cast<metering::AccountId>(account), "large");
     }
     EXPECT_GT(small.requests, 50);
     EXPECT_GT(large.requests, 50);
-    EXPECT_GT(rig.town.audit.rejected, 0u);
-    // The sub-commands read the same, beside the gateways that hold the ledgers.
+    EXPECT_GT(fixture.platform.audit.rejected, 0u);
+    // Readers such as the sub-commands see the same usage while the gateways have the ledgers locked.
     std::int64_t requests = 0;
     for (int i = 0; i < 2; ++i) {
         const auto store =
-            metering::LedgerStore::open_to_read(rig.folder.path + "/n" + std::to_string(i) + ".db");
+            metering::LedgerStore::open_to_read(fixture.directory.path + "/n" + std::to_string(i) + ".db");
         ASSERT_TRUE(store) << store.error().message;
         for (const auto& row : (*store)->rows()) requests += row.usage.requests;
         EXPECT_TRUE((*store)->verify().empty());
@@ -119,72 +121,73 @@
     EXPECT_EQ(requests, small.requests + large.requests);
 }
 
-TEST(Usage, AReceiverThatDoesEverythingWrongIsSentTheSameBatchesUntilItTakesThem) {
-    Rig rig("");
+TEST(Usage, RepeatsTheSameBatchesUntilAFaultyReceiverAcceptsThem) {
+    UsageFixture fixture("");
     using Mood = Receipts::Mood;
     for (const Mood mood :
          {Mood::kLost, Mood::kRubbish, Mood::kOlder, Mood::kRefusing, Mood::kCut, Mood::kSilent}) {
-        rig.town.receipts.mood = mood;
-        const auto served = rig.town.audit.served;
-        rig.town.run_for(1500ms);
-        EXPECT_GT(rig.town.audit.served, served + 20);  // the gateways do not wait for it
+        fixture.platform.receipts.mood = mood;
+        const auto served = fixture.platform.audit.served;
+        fixture.platform.run_for(1500ms);
+        EXPECT_GT(fixture.platform.audit.served, served + 20);  // requests do not wait for the receiver
     }
-    rig.town.receipts.mood = Mood::kWell;
-    rig.town.run_for(1s);
-    rig.finish();
-    EXPECT_GT(rig.town.receipts.repeats, 0u);
+    fixture.platform.receipts.mood = Mood::kWell;
+    fixture.platform.run_for(1s);
+    fixture.finish();
+    EXPECT_GT(fixture.platform.receipts.repeats, 0u);
 }
 
-// Nothing is billed that was not sent; what is not known is bounded by the leases, and said.
-TEST(Usage, AGatewayKilledLosesNoMoreThanItsLeaseAndSaysSo) {
-    Rig rig(", lease = 200");
+// A killed gateway bills nothing that was not forwarded. The usage that it loses is bounded by its leases,
+// and the bound is reported.
+TEST(Usage, LosesNoMoreThanTheReportedLeaseWhenAGatewayIsKilled) {
+    UsageFixture fixture(", lease = 200");
     for (int kill = 0; kill < 3; ++kill) {
-        rig.town.run_for(1700ms);
-        rig.town.kill(kill % 2);
-        rig.town.start_again(kill % 2);
+        fixture.platform.run_for(1700ms);
+        fixture.platform.kill(kill % 2);
+        fixture.platform.start_again(kill % 2);
     }
-    rig.town.load(false);
-    rig.town.run_for(4s);
-    const auto seen_and_billed = [&] {
+    fixture.platform.load(false);
+    fixture.platform.run_for(4s);
+    const auto unbilled_units = [&] {
         metering::Usage seen, billed;
-        for (const auto& [account, use] : rig.town.seen) {
+        for (const auto& [account, use] : fixture.platform.seen) {
             seen += use;
-            const metering::Usage one = rig.town.receipts.sum(account);
+            const metering::Usage one = fixture.platform.receipts.sum(account);
             EXPECT_LE(one.estimated, use.estimated);
             EXPECT_LE(one.requests, use.requests);
             billed += one;
         }
         return seen.estimated - billed.estimated;
     };
-    const metering::Milliunits missing = seen_and_billed();
-    EXPECT_LE(missing, rig.town.receipts.uncertain());
-    EXPECT_LE(rig.town.receipts.uncertain(), 3 * metering::milliunits(400));
-    EXPECT_EQ(rig.town.receipts.other_content, 0u);
+    const metering::Milliunits missing = unbilled_units();
+    EXPECT_LE(missing, fixture.platform.receipts.uncertain());
+    EXPECT_LE(fixture.platform.receipts.uncertain(), 3 * metering::milliunits(400));
+    EXPECT_EQ(fixture.platform.receipts.other_content, 0u);
 }
 
-// Under load there is something to write at every turn, and the export must have its own.
-TEST(Usage, BatchesGoOutWhileTheLedgerIsWrittenWithoutAPause) {
-    Rig rig("", true, 500);
-    rig.town.run_for(3s);
-    EXPECT_GT(rig.town.receipts.batches.size(), 6u);
-    EXPECT_LT(rig.town.receipts.repeats, 4u);
-    rig.finish();
+// Under load every cycle has usage to write; the export must have its turn nevertheless.
+TEST(Usage, ExportsBatchesWhileTheLedgerIsWrittenContinuously) {
+    UsageFixture fixture("", true, 500);
+    fixture.platform.run_for(3s);
+    EXPECT_GT(fixture.platform.receipts.batches.size(), 6u);
+    EXPECT_LT(fixture.platform.receipts.repeats, 4u);
+    fixture.finish();
 }
 
-TEST(Usage, WithoutADiskItIsInMemoryAndSaysSo) {
-    Rig rig("", false);
-    rig.town.run_for(3s);
-    const auto said = [&] {
-        for (const auto& one : rig.town.log()) {
+TEST(Usage, KeepsTheLedgerInMemoryWithoutAPathAndLogsIt) {
+    UsageFixture fixture("", false);
+    fixture.platform.run_for(3s);
+    const auto reported = [&] {
+        for (const auto& one : fixture.platform.log()) {
             if (one.line.find("gone with the process") != std::string::npos) return true;
         }
         return false;
     };
-    EXPECT_TRUE(said());
-    rig.finish();
+    EXPECT_TRUE(reported());
+    fixture.finish();
 }
 
-TEST(Usage, ALedgerThatCannotBeUsedIsToldInALineAtTheStart) {
+TEST(Usage, ReportsAnUnusableLedgerInOneLineAtTheStart) {
     const std::string path = test_support::temporary_path("db"),
                       operators = test_support::temporary_path("star");
     test_support::write_file(path, std::string(10000, 'x'));
@@ -193,10 +196,10 @@
                                   R"({"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":
         {"classes":[{"name":"a","aim":1,"deadline":2}],"tariffs":[{"name":"p"}]}})",
                                   {"--operators", operators});
-    const std::string said = process.line();
+    const std::string reported = process.line();
     EXPECT_EQ(process.exit_code(), 1);
-    EXPECT_NE(said.find("is damaged"), std::string::npos) << said;
-    EXPECT_EQ(said.find('\n'), said.size() - 1);
+    EXPECT_NE(reported.find("is damaged"), std::string::npos) << reported;
+    EXPECT_EQ(reported.find('\n'), reported.size() - 1);
     for (const char* end : {"", "-wal", "-shm", ".lock"}) unlink((path + end).c_str());
     unlink(operators.c_str());
 }
