--- a/src/metering/ledger_store.cpp
+++ b/src/metering/ledger_store.cpp
@@ -91,12 +91,12 @@
     const int result =
         sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX, nullptr);
     std::unique_ptr<LedgerStore> store(new LedgerStore(db));
-    SqliteStatement about(db, "SELECT id, gateway, schema FROM ledger");
-    if (result != SQLITE_OK || !about.next_row() || about.text(2) != kUsageSchema) {
+    SqliteStatement identity(db, "SELECT id, gateway, schema FROM ledger");
+    if (result != SQLITE_OK || !identity.next_row() || identity.text(2) != kUsageSchema) {
         return fail(ErrorCode::kIo, subject(path) + "cannot be read: " + sqlite3_errmsg(db));
     }
-    store->ledger_id_ = about.text(0);
-    store->gateway_ = about.text(1);
+    store->ledger_id_ = identity.text(0);
+    store->gateway_ = identity.text(1);
     SqliteStatement open_units(db, kOpenEpochUnits);
     if (open_units.next_row()) store->uncertain_ = open_units.number(0);
     return store;
@@ -145,21 +145,21 @@
 // Checks that the ledger is this gateway's, and gives a new one its id.
 Status LedgerStore::identify(const Settings& settings) {
     gateway_ = settings.gateway;
-    SqliteStatement about(db_, "SELECT id, gateway, schema FROM ledger");
-    if (about.next_row()) {
-        ledger_id_ = about.text(0);
-        if (about.text(2) != kUsageSchema) {
-            return fail(ErrorCode::kFailedPrecondition, "has an unknown schema: " + about.text(2));
+    SqliteStatement identity(db_, "SELECT id, gateway, schema FROM ledger");
+    if (identity.next_row()) {
+        ledger_id_ = identity.text(0);
+        if (identity.text(2) != kUsageSchema) {
+            return fail(ErrorCode::kFailedPrecondition, "has an unknown schema: " + identity.text(2));
         }
-        if (about.text(1) != gateway_) {
+        if (identity.text(1) != gateway_) {
             return fail(ErrorCode::kFailedPrecondition,
-                        "belongs to the gateway '" + about.text(1) + "', not to '" + gateway_ + "'");
+                        "belongs to the gateway '" + identity.text(1) + "', not to '" + gateway_ + "'");
         }
         return {};
     }
     ledger_id_ = write_account(XXH64(gateway_.data(), gateway_.size(), settings.seed));
-    SqliteStatement made(db_, "INSERT INTO ledger VALUES(?, ?, ?)");
-    if (!made.bind(ledger_id_).bind(gateway_).bind(std::string(kUsageSchema)).run()) {
+    SqliteStatement insert(db_, "INSERT INTO ledger VALUES(?, ?, ?)");
+    if (!insert.bind(ledger_id_).bind(gateway_).bind(std::string(kUsageSchema)).run()) {
         return fail(ErrorCode::kIo, "cannot be written");
     }
     return {};
@@ -170,8 +170,8 @@
     epoch_ = last.next_row() ? last.number(0) + 1 : 1;
     SqliteStatement open_units(db_, kOpenEpochUnits);
     uncertain_ = open_units.next_row() ? open_units.number(0) : 0;
-    SqliteStatement begun(db_, "INSERT INTO epoch VALUES(?, 0, 0, 0)");
-    if (!begun.bind(epoch_).run() || !execute("COMMIT")) {
+    SqliteStatement insert(db_, "INSERT INTO epoch VALUES(?, 0, 0, 0)");
+    if (!insert.bind(epoch_).run() || !execute("COMMIT")) {
         return fail(ErrorCode::kIo, std::string("cannot be written: ") + sqlite3_errmsg(db_));
     }
     return {};
--- a/src/metering/plan_accounts.cpp
+++ b/src/metering/plan_accounts.cpp
@@ -51,13 +51,13 @@
 // A plan of the schedule takes precedence over one of the platform with the same name.
 PlanAccounts::PositionByName PlanAccounts::index_by_name(const PlanSchedule& schedule,
                                                          const std::vector<std::int32_t>& positions) const {
-    PositionByName made;
+    PositionByName index;
     for (std::size_t i = 0; i < schedule.plans.size(); ++i)
-        made.emplace(schedule.plans[i].name, positions[i]);
+        index.emplace(schedule.plans[i].name, positions[i]);
     for (std::size_t i = 0; i < platform_plans_; ++i) {
-        made.emplace(positions_[i].name, static_cast<std::int32_t>(i));
+        index.emplace(positions_[i].name, static_cast<std::int32_t>(i));
     }
-    return made;
+    return index;
 }
 
 std::int32_t PlanAccounts::lesser(std::int32_t a, std::int32_t b) const {
--- a/src/metering/usage_ledger.h
+++ b/src/metering/usage_ledger.h
@@ -1,7 +1,7 @@
 // Usage of each account by plan and period: counted when a request's first attempt is forwarded, corrected by
-// its first successful response. In memory and without I/O; the thread that writes the ledger to disk takes
-// the changes out in batches. Only corrections can lower a sum. All values are of this gateway alone: the
-// group's usage is the sum over its gateways.
+// its first successful response. In memory and without I/O; the usage service takes the changes out in
+// batches and writes them to disk. Only corrections can lower a sum. All values are of this gateway alone:
+// the group's usage is the sum over its gateways.
 #pragma once
 
 #include <cstdint>
--- a/tests/reserve_test.cpp
+++ b/tests/reserve_test.cpp
@@ -376,7 +376,7 @@
     PrepaidBalances balances(1, 4, [&](const std::string& name, double amount, Duration lifetime) {
         replies.emplace(now + 3ms, std::pair(name, *counter.tally(now, name, amount, lifetime)));
     });
-    const auto run = [&](Duration time, int calls, AccountId account) {
+    const auto run = [&](Duration time, int requests, AccountId account) {
         std::map<std::string, int> charged_units;
         for (const Timestamp end = now + time; now < end; now += 5ms) {
             while (!replies.empty() && replies.begin()->first <= now) {
@@ -385,9 +385,9 @@
                 balances.on_counter_reply(now, name, true, total);
             }
             if (now / 5ms % 10 == 0) balances.tick(now);
-            if (now / 5ms % 4 != 0 || calls <= 0) continue;
+            if (now / 5ms % 4 != 0 || requests <= 0) continue;
             const auto one = balances.charge(now, account, 1);
-            if (one && --calls >= 0) ++charged_units[balances.find(one->lease)->balance().id];
+            if (one && --requests >= 0) ++charged_units[balances.find(one->lease)->balance().id];
         }
         return charged_units;
     };
--- a/tests/usage_test.cpp
+++ b/tests/usage_test.cpp
@@ -53,12 +53,12 @@
 }
 
 struct UsageFixture {
-    explicit UsageFixture(const std::string& more, bool on_disk = true, double calls_per_s = 60)
+    explicit UsageFixture(const std::string& more, bool on_disk = true, double requests_per_s = 60)
         : platform([&] {
               test_support::FakePlatformSettings settings;
               settings.program = LINNETLEAD_PROGRAM;
               settings.gateways = 2;
-              settings.calls_per_s = calls_per_s;
+              settings.calls_per_s = requests_per_s;
               settings.tenants = kTenants;
               settings.operators = "pool(\"none\", ids = [\"none\"])\n";
               return settings;
