--- a/src/metering/ledger_store.cpp
+++ b/src/metering/ledger_store.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Bounds a batch's size on the way to the receiver; what is left goes into the next one.
+// Bounds the size of a batch sent to the receiver; further rows go into the next one.
 constexpr std::int64_t kMaxBatchRows = 50'000;
 constexpr int kBusyTimeoutMs = 1000;  // for readers, at a checkpoint
 constexpr std::size_t kPageBytes = 4096;
@@ -35,7 +35,7 @@
     return Batch{found.number(0), found.text(2), found.text(1), found.number(3)};
 }
 
-// The start of a problem's line.
+// The start of an error message.
 std::string subject(const std::string& path) { return "the ledger " + path + " "; }
 
 }  // namespace
@@ -91,12 +91,12 @@
     const int result =
         sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX, nullptr);
     std::unique_ptr<LedgerStore> store(new LedgerStore(db));
-    SqliteStatement about(db, "SELECT id, gateway, schema FROM ledger");
-    if (result != SQLITE_OK || !about.next_row() || about.text(2) != kUsageSchema) {
+    SqliteStatement identity(db, "SELECT id, gateway, schema FROM ledger");
+    if (result != SQLITE_OK || !identity.next_row() || identity.text(2) != kUsageSchema) {
         return fail(ErrorCode::kIo, subject(path) + "cannot be read: " + sqlite3_errmsg(db));
     }
-    store->ledger_id_ = about.text(0);
-    store->gateway_ = about.text(1);
+    store->ledger_id_ = identity.text(0);
+    store->gateway_ = identity.text(1);
     SqliteStatement open_units(db, kOpenEpochUnits);
     if (open_units.next_row()) store->uncertain_ = open_units.number(0);
     return store;
@@ -108,7 +108,7 @@
         if (!status) status.error().message = subject(path) + status.error().message;
         return status;
     };
-    // Locked as long as the process lives: two gateways given one file would each count for both.
+    // Locked as long as the ledger is open: two gateways with one file would each count the usage of both.
     if (!settings.path.empty() && !lock_file(path)) {
         const bool held = errno == EWOULDBLOCK;
         return with_subject(fail(
@@ -142,24 +142,24 @@
     return {};
 }
 
-// Whose ledger it is; a new one is given an id.
+// Checks that the ledger is this gateway's, and gives a new one its id.
 Status LedgerStore::identify(const Settings& settings) {
     gateway_ = settings.gateway;
-    SqliteStatement about(db_, "SELECT id, gateway, schema FROM ledger");
-    if (about.next_row()) {
-        ledger_id_ = about.text(0);
-        if (about.text(2) != kUsageSchema) {
-            return fail(ErrorCode::kFailedPrecondition, "has another form: " + about.text(2));
+    SqliteStatement identity(db_, "SELECT id, gateway, schema FROM ledger");
+    if (identity.next_row()) {
+        ledger_id_ = identity.text(0);
+        if (identity.text(2) != kUsageSchema) {
+            return fail(ErrorCode::kFailedPrecondition, "has an unknown schema: " + identity.text(2));
         }
-        if (about.text(1) != gateway_) {
+        if (identity.text(1) != gateway_) {
             return fail(ErrorCode::kFailedPrecondition,
-                        "belongs to the gateway '" + about.text(1) + "', not to '" + gateway_ + "'");
+                        "belongs to the gateway '" + identity.text(1) + "', not to '" + gateway_ + "'");
         }
         return {};
     }
     ledger_id_ = write_account(XXH64(gateway_.data(), gateway_.size(), settings.seed));
-    SqliteStatement made(db_, "INSERT INTO ledger VALUES(?, ?, ?)");
-    if (!made.bind(ledger_id_).bind(gateway_).bind(std::string(kUsageSchema)).run()) {
+    SqliteStatement insert(db_, "INSERT INTO ledger VALUES(?, ?, ?)");
+    if (!insert.bind(ledger_id_).bind(gateway_).bind(std::string(kUsageSchema)).run()) {
         return fail(ErrorCode::kIo, "cannot be written");
     }
     return {};
@@ -170,8 +170,8 @@
     epoch_ = last.next_row() ? last.number(0) + 1 : 1;
     SqliteStatement open_units(db_, kOpenEpochUnits);
     uncertain_ = open_units.next_row() ? open_units.number(0) : 0;
-    SqliteStatement begun(db_, "INSERT INTO epoch VALUES(?, 0, 0, 0)");
-    if (!begun.bind(epoch_).run() || !execute("COMMIT")) {
+    SqliteStatement insert(db_, "INSERT INTO epoch VALUES(?, 0, 0, 0)");
+    if (!insert.bind(epoch_).run() || !execute("COMMIT")) {
         return fail(ErrorCode::kIo, std::string("cannot be written: ") + sqlite3_errmsg(db_));
     }
     return {};
@@ -307,12 +307,12 @@
 
 Status LedgerStore::record_receipt(std::int64_t number, Timestamp now) {
     SqliteStatement update(db_, "UPDATE batch SET receipted = ? WHERE number = ?");
-    const std::int64_t at = std::max<std::int64_t>(1, ms_of(now));  // 0 stands for none
+    const std::int64_t at = std::max<std::int64_t>(1, ms_of(now));  // 0: no receipt
     if (!update.bind(at).bind(number).run()) return roll_back("receipt");
     return {};
 }
 
-// The last batch stays: the next one goes on from its number and checksum.
+// Keeps the last batch, because the next one continues its number and checksum.
 Status LedgerStore::prune(Timestamp before) {
     const std::int64_t at = ms_of(before);
     if (!execute("BEGIN IMMEDIATE")) return roll_back("begin");
