--- a/src/proxy/attempt_result.h
+++ b/src/proxy/attempt_result.h
@@ -1,4 +1,5 @@
-// How an attempt at an endpoint ended. An error is a value that says how far the attempt had come.
+// Result of one attempt at an endpoint. Errors are values: they say how far the attempt had progressed.
+// The upstream pool produces it; the request manager maps it to the policy's outcome.
 #pragma once
 
 #include <string_view>
@@ -8,28 +9,28 @@
 namespace linnetlead::proxy {
 
 enum class Stage {
-    kUnconnected,    // nothing has been written
-    kPartlyWritten,  // the last byte has not: the endpoint cannot have begun
-    kWritten,        // the kernel has taken the last byte
-    kAnswering,      // part of an answer is here
+    kUnconnected,    // no byte has been written
+    kPartlyWritten,  // the last byte is not written: the endpoint cannot have started the request
+    kWritten,        // the kernel has accepted the last byte
+    kAnswering,      // part of the reply has been received
 };
 
 enum class Ending {
     kServed,
-    kError,       // the endpoint's error answer
-    kTurnedAway,  // the endpoint's own overload reply
-    kBroken,      // refused, reset, ended, or bytes that are no answer
+    kError,       // the endpoint replied with an error
+    kTurnedAway,  // the endpoint replied that it is overloaded
+    kBroken,      // connection refused, reset or closed, or the bytes are not a valid reply
     kTimedOut,
-    kGivenUp,  // by the decision module
+    kGivenUp,  // cancelled by the decision module
 };
 
 struct AttemptEnd {
     Stage stage = Stage::kUnconnected;
     Ending ending = Ending::kBroken;
-    std::string_view value;  // of a served call: a slice of the read buffer
+    std::string_view value;  // of a served request: a slice of the read buffer
     double actual_units = 0;
     policy::LoadReport report;
-    std::string_view error{};  // of an error answer: its line, a slice of the read buffer
+    std::string_view error{};  // of an error reply: its line, a slice of the read buffer
 };
 
 inline policy::Outcome outcome_of(const AttemptEnd& end) {
--- a/src/proxy/counter_client.cpp
+++ b/src/proxy/counter_client.cpp
@@ -19,106 +19,107 @@
 
 namespace {
 
-constexpr std::size_t kMaxUnanswered = 512;  // on one line
-constexpr Duration kSilentFor = 300ms;       // then a line is given up for a new one
-constexpr Duration kBetweenConnects = 100ms;
+constexpr std::size_t kMaxUnanswered = 512;   // per connection
+constexpr Duration kStallTimeout = 300ms;     // without a reply; then the connection is replaced
+constexpr Duration kBetweenConnects = 100ms;  // after a failed connect
 
 }  // namespace
 
-class CounterClient::Line final : public Stream {
+class CounterClient::Connection final : public Stream {
 public:
-    Line(Loop& loop, CounterClient& client)
-        : Stream(loop), client_(client), begun_(loop.now()), heard_(begun_) {}
-
-    bool full() const { return calls_.size() >= kMaxUnanswered; }
-    // Nothing has come for long: what is written here would wait behind it.
-    bool silent() const {
-        const Timestamp since = !connected_      ? begun_
-                                : calls_.empty() ? Timestamp::max()
-                                                 : calls_.front().made;
-        return since != Timestamp::max() && loop().now() - since > kSilentFor;
+    Connection(Loop& loop, CounterClient& client)
+        : Stream(loop), client_(client), started_(loop.now()), last_reply_at_(started_) {}
+
+    bool is_full() const { return requests_.size() >= kMaxUnanswered; }
+    // No reply has arrived for too long: a new request would wait behind the pending ones.
+    bool is_stalled() const {
+        const Timestamp since = !connected_         ? started_
+                                : requests_.empty() ? Timestamp::max()
+                                                    : requests_.front().created_at;
+        return since != Timestamp::max() && loop().now() - since > kStallTimeout;
     }
 
-    // Guards against a service that went silent and came back without a word: what another line has found
-    // out holds for all that have heard nothing since, else each of them costs a call of its own to notice.
-    bool suspect() const { return heard_ < client_.silent_at_; }
+    // Handles a service that stopped answering without closing its connections. If one connection stalled,
+    // all that have received nothing since are replaced too; otherwise each would lose a request to find out.
+    bool is_suspect() const { return last_reply_at_ < client_.stalled_at_; }
 
     void add(const std::string& name, std::string command) {
-        const std::uint64_t number = first_ + calls_.size();
+        const std::uint64_t number = first_ + requests_.size();
         const Timestamp now = loop().now();
-        calls_.push_back({name, std::move(command), now, 0, {}, false});
-        calls_.back().timer = loop().arm(now + client_.timeout_, [this, number] { late(number); });
-        if (connected_) write(calls_.back());
+        requests_.push_back({name, std::move(command), now, 0, {}, false});
+        requests_.back().timer = loop().arm(now + client_.timeout_, [this, number] { time_out(number); });
+        if (connected_) write(requests_.back());
     }
 
-    // Whatever has not been told yet is told.
-    void give_up() {
+    // Closes the connection and reports every request that has no result yet.
+    void abandon() {
         const std::uint64_t sent = queued_ - unsent();
         close();
-        for (DownstreamRequest& call : std::exchange(calls_, {})) {
-            const bool whole = call.end > 0 && call.end <= sent;
-            tell(call, whole ? CounterStatus::kTimeout : CounterStatus::kConnectFailed);
+        for (PendingRequest& request : std::exchange(requests_, {})) {
+            const bool whole = request.end > 0 && request.end <= sent;
+            report(request, whole ? CounterStatus::kTimeout : CounterStatus::kConnectFailed);
         }
     }
 
+    // Closes the connection once no request waits for a reply.
     void retire() {
         retiring_ = true;
-        close_if_over();
+        close_if_idle();
     }
 
     Handle self;
     std::size_t place = 0;
 
 private:
-    struct DownstreamRequest {
+    struct PendingRequest {
         std::string name;
         std::string command;  // until it is written
-        Timestamp made{};
-        std::uint64_t end = 0;  // of its bytes, among all that were written; 0: not yet
+        Timestamp created_at{};
+        std::uint64_t end = 0;  // offset of its last byte in the output stream; 0: not written yet
         Handle timer;
-        bool told = false;  // given up: its answer is still to come
+        bool reported = false;  // timed out: its reply is still to come
     };
 
-    void write(DownstreamRequest& call) {
-        to_write().append(call.command);
-        queued_ += call.command.size();
-        call.end = queued_;
-        call.command.clear();
+    void write(PendingRequest& request) {
+        to_write().append(request.command);
+        queued_ += request.command.size();
+        request.end = queued_;
+        request.command.clear();
     }
 
-    void tell(DownstreamRequest& call, CounterStatus status, double total = 0) {
-        if (std::exchange(call.told, true)) return;
-        loop().disarm(std::exchange(call.timer, {}));
-        client_.gateway_.counted(call.name, status, total);
-        close_if_over();
+    void report(PendingRequest& request, CounterStatus status, double total = 0) {
+        if (std::exchange(request.reported, true)) return;
+        loop().disarm(std::exchange(request.timer, {}));
+        client_.gateway_.counted(request.name, status, total);
+        close_if_idle();
     }
-    void close_if_over() {
-        const bool waits =
-            std::any_of(calls_.begin(), calls_.end(), [](const DownstreamRequest& c) { return !c.told; });
+    void close_if_idle() {
+        const bool waits = std::any_of(requests_.begin(), requests_.end(),
+                                       [](const PendingRequest& c) { return !c.reported; });
         if (retiring_ && !waits) close();
     }
 
-    void late(std::uint64_t number_of_call) {
-        DownstreamRequest& call = calls_[static_cast<std::size_t>(number_of_call - first_)];
-        // What was not written yet, never will be.
-        tell(call, call.end > 0 ? CounterStatus::kTimeout : CounterStatus::kConnectFailed);
+    void time_out(std::uint64_t number) {
+        PendingRequest& request = requests_[static_cast<std::size_t>(number - first_)];
+        // A request that is not written yet never will be.
+        report(request, request.end > 0 ? CounterStatus::kTimeout : CounterStatus::kConnectFailed);
     }
 
     void on_connected() override {
         connected_ = true;
-        while (!calls_.empty() && calls_.front().told) drop_first();
-        for (DownstreamRequest& call : calls_)
-            write(call);  // those given up come first: all have the same time
+        while (!requests_.empty() && requests_.front().reported) drop_first();
+        for (PendingRequest& request : requests_)
+            write(request);  // timed-out requests are at the front, since all have the same timeout
     }
 
     std::size_t on_bytes(std::string_view bytes) override {
         std::size_t taken = 0;
-        heard_ = loop().now();
+        last_reply_at_ = loop().now();
         while (taken < bytes.size() && !closing()) {
             const resp::Parsed parsed = resp::parse(bytes.substr(taken), message_);
             if (parsed == resp::Parsed::kPartial) break;
-            if (parsed != resp::Parsed::kWhole || message_.array || calls_.empty()) {
-                give_up();
+            if (parsed != resp::Parsed::kWhole || message_.array || requests_.empty()) {
+                abandon();
                 return bytes.size();
             }
             const resp::Item& item = message_.items.front();
@@ -126,40 +127,40 @@
             const auto total = bulk ? config::parse<double>(item.text) : std::nullopt;
             const bool rejected = item.type == resp::Type::kError &&
                                   (resp::is_word(item.text, "BUSY") || resp::is_word(item.text, "ERR"));
-            // Guards against a reply without a number: the amount was added, and the line is of no use.
+            // A reply without a number: the amount may have been added, and the connection cannot be trusted.
             if (!total && !rejected) {
-                give_up();
+                abandon();
                 return bytes.size();
             }
             taken += message_.size;
-            DownstreamRequest call = std::move(calls_.front());
+            PendingRequest request = std::move(requests_.front());
             drop_first();
-            tell(call, total ? CounterStatus::kOk : CounterStatus::kOverloaded, total.value_or(0));
+            report(request, total ? CounterStatus::kOk : CounterStatus::kOverloaded, total.value_or(0));
         }
         return taken;
     }
 
     void drop_first() {
-        calls_.pop_front();
+        requests_.pop_front();
         ++first_;
     }
 
     void failed() {
-        // One that had come up and broke is replaced at once; where none comes up, there is a pause.
+        // A connection that breaks is replaced at once; after a failed connect there is a pause.
         if (!retiring_ && !connected_) client_.failed_at_[place] = loop().now();
-        give_up();
+        abandon();
     }
     void on_end(int error) override {
-        if (error == UV_EOF && calls_.empty()) return;  // closed while idle
+        if (error == UV_EOF && requests_.empty()) return;  // closed while idle
         failed();
     }
-    void on_released() override { client_.lines_.remove(self); }
+    void on_released() override { client_.connections_.remove(self); }
 
     CounterClient& client_;
-    Timestamp begun_;
-    Timestamp heard_;                      // when an answer came last
-    std::deque<DownstreamRequest> calls_;  // in their order, until answered
-    std::uint64_t first_ = 0;              // number of the first of them
+    Timestamp started_;
+    Timestamp last_reply_at_;              // when the last reply arrived
+    std::deque<PendingRequest> requests_;  // in order, until the reply arrives
+    std::uint64_t first_ = 0;              // number of requests_.front()
     std::uint64_t queued_ = 0;
     bool connected_ = false;
     bool retiring_ = false;
@@ -175,19 +176,19 @@
     address_ = address;
     current_ = {};
     failed_at_ = {};
-    lines_.for_each([](Handle, Line& line) {
-        if (!line.closing()) line.retire();
+    connections_.for_each([](Handle, Connection& connection) {
+        if (!connection.closing()) connection.retire();
     });
 }
 
 void CounterClient::close() {
-    lines_.for_each([](Handle, Line& line) { line.close(); });
+    connections_.for_each([](Handle, Connection& connection) { connection.close(); });
 }
 
 void CounterClient::add(const std::string& name, double amount, Duration life) {
-    Line* line = open_line(std::hash<std::string>{}(name) % kLines);
-    if (!line) return gateway_.counted(name, CounterStatus::kConnectFailed, 0);
-    if (line->full()) return gateway_.counted(name, CounterStatus::kOverloaded, 0);
+    Connection* connection = open_connection(std::hash<std::string>{}(name) % kConnections);
+    if (!connection) return gateway_.counted(name, CounterStatus::kConnectFailed, 0);
+    if (connection->is_full()) return gateway_.counted(name, CounterStatus::kOverloaded, 0);
     std::array<char, 48> text{};
     const int size = std::snprintf(text.data(), text.size(), "%.7g", amount);
     std::string command;
@@ -197,24 +198,24 @@
     resp::write_bulk(command, {text.data(), static_cast<std::size_t>(size)});
     const auto ms = std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::milliseconds>(life).count());
     resp::write_bulk(command, std::to_string(ms));
-    line->add(name, std::move(command));
+    connection->add(name, std::move(command));
 }
 
-CounterClient::Line* CounterClient::open_line(std::size_t number) {
-    Line* line = lines_.find(current_[number]);
-    if (line && !line->closing()) {
-        const bool silent = line->silent();
-        if (!silent && !line->suspect()) return line;
-        if (silent) silent_at_ = loop_.now();
-        line->give_up();
+CounterClient::Connection* CounterClient::open_connection(std::size_t number) {
+    Connection* connection = connections_.find(current_[number]);
+    if (connection && !connection->closing()) {
+        const bool stalled = connection->is_stalled();
+        if (!stalled && !connection->is_suspect()) return connection;
+        if (stalled) stalled_at_ = loop_.now();
+        connection->abandon();
     }
     if (loop_.now() - failed_at_[number] < kBetweenConnects) return nullptr;
-    const Handle handle = lines_.add(loop_, *this);
-    line = lines_.find(handle);
-    line->self = current_[number] = handle;
-    line->place = number;
-    if (line->connect(address_) == 0) return line;
-    line->close();
+    const Handle handle = connections_.add(loop_, *this);
+    connection = connections_.find(handle);
+    connection->self = current_[number] = handle;
+    connection->place = number;
+    if (connection->connect(address_) == 0) return connection;
+    connection->close();
     return nullptr;
 }
 
--- a/src/proxy/counter_client.h
+++ b/src/proxy/counter_client.h
@@ -1,4 +1,5 @@
-// The counter service: a few connections with calls written one behind another.
+// Client of the external counter service. Pipelines requests over a few connections and reports each result
+// to the request manager.
 #pragma once
 
 #include <array>
@@ -16,28 +17,29 @@
     CounterClient(Loop& loop, proxy::RequestManager& gateway, const sockaddr_storage& address,
                   proxy::Duration timeout);
     ~CounterClient() override;
-    // Goes over to another address. The old lines are written nothing more and end with their last answer.
+    // Switches to another address. The old connections get no further request and close after their last
+    // reply.
     void move(const sockaddr_storage& address);
     void close();
 
     void add(const std::string& name, double amount, proxy::Duration life) override;
 
 private:
-    class Line;
-    // Answers for a name keep the order of its calls: a name stays on its line. Several, so that a part of
-    // the service that is behind does not hold up the others.
-    static constexpr std::size_t kLines = 4;
+    class Connection;
+    // Replies for a counter name keep the order of its requests, because a name always uses the same
+    // connection. There are several, so that a slow part of the service does not delay the others.
+    static constexpr std::size_t kConnections = 4;
 
-    Line* open_line(std::size_t number);
+    Connection* open_connection(std::size_t number);
 
     Loop& loop_;
     proxy::RequestManager& gateway_;
     sockaddr_storage address_;
     proxy::Duration timeout_;
-    proxy::SlotMap<Line> lines_;
-    std::array<proxy::Handle, kLines> current_{};
-    std::array<proxy::Timestamp, kLines> failed_at_{};
-    proxy::Timestamp silent_at_{};  // when a line was last given up for its silence
+    proxy::SlotMap<Connection> connections_;
+    std::array<proxy::Handle, kConnections> current_{};
+    std::array<proxy::Timestamp, kConnections> failed_at_{};
+    proxy::Timestamp stalled_at_{};  // when a connection was last abandoned because it stalled
 };
 
 }  // namespace linnetlead::net
--- a/src/proxy/downstream_server.cpp
+++ b/src/proxy/downstream_server.cpp
@@ -14,25 +14,28 @@
 
 namespace {
 
-// A body over this is read into room of its own, taken by its length; less may lie in every read buffer.
-constexpr std::size_t kMaxSmall = 8 * 1024;
+// A longer body gets its own buffer, reserved by its announced length; a shorter one stays in the read
+// buffer.
+constexpr std::size_t kMaxBufferedBody = 8 * 1024;
 constexpr std::string_view kLineEnd = "\r\n";
-constexpr std::size_t kMaxPipelined = 64;        // commands of one client without an answer
-constexpr std::size_t kMuchUnsent = 64 * 1024;   // to one client: no more is read from it
-constexpr std::size_t kMaxUnsent = 1024 * 1024;  // it does not read: it is given up
-constexpr proxy::Duration kFarewell = std::chrono::seconds(1);
-constexpr proxy::Duration kLookOverEvery = std::chrono::milliseconds(200);
-// Of a client that is not read, while its calls wait: nothing may be begun for it 0.1 s after its end.
-constexpr proxy::Duration kLookAtUnreadEvery = std::chrono::milliseconds(30);
-// A command that has not gone on for so long is one that a crowd has left half way.
-constexpr proxy::Duration kStopsAfter = std::chrono::milliseconds(500);
-// Who comes in a burst is let in when those before have been read, and may go. Longer, a call could be late.
-constexpr proxy::Duration kHeldFor = std::chrono::milliseconds(100);
-constexpr proxy::Duration kHoldStep = std::chrono::milliseconds(4);
-constexpr std::size_t kPartingPart = 16;  // of the clients: those that are asked to go, to make room in time
-constexpr proxy::Duration kPatience = std::chrono::milliseconds(2100);  // with one that does not ask
-// With one whose command is not whole: slow ones take 2 s, and others are told within 3 s of connecting.
-constexpr proxy::Duration kPatienceHalf = std::chrono::milliseconds(2600);
+constexpr std::size_t kMaxPipelined = 64;               // unanswered commands of one client
+constexpr std::size_t kPauseReadingUnsent = 64 * 1024;  // bytes for one client; above, its reading is paused
+constexpr std::size_t kMaxUnsent = 1024 * 1024;  // bytes for one client; above, its connection is closed
+constexpr proxy::Duration kLingerStep = std::chrono::seconds(1);
+constexpr proxy::Duration kTimeoutCheckInterval = std::chrono::milliseconds(200);
+// Interval at which paused connections with open requests are checked for their end: no attempt may start
+// more than 0.1 s after the client has closed its connection.
+constexpr proxy::Duration kUnreadCheckInterval = std::chrono::milliseconds(30);
+// A partial command without further bytes for this long counts as abandoned.
+constexpr proxy::Duration kStalledAfter = std::chrono::milliseconds(500);
+// In a burst, new connections wait until earlier ones have been read and can be closed. A longer wait could
+// make a request miss its deadline.
+constexpr proxy::Duration kMaxAcceptDelay = std::chrono::milliseconds(100);
+constexpr proxy::Duration kAcceptRetryDelay = std::chrono::milliseconds(4);
+constexpr std::size_t kFreePart = 16;  // 1/16 of the clients: room kept free by closing connections early
+constexpr proxy::Duration kIdleTimeout = std::chrono::milliseconds(2100);  // of a client without requests
+// For an incomplete command: slow clients take up to 2 s, and others are answered within 3 s of connecting.
+constexpr proxy::Duration kIncompleteTimeout = std::chrono::milliseconds(2600);
 
 void write_answer(std::string& out, const Answer& answer) {
     switch (answer.verdict) {
@@ -55,17 +58,17 @@
 
 class DownstreamServer::Client final : public Stream {
 public:
-    Client(Loop& loop, DownstreamServer& acceptor) : Stream(loop), acceptor_(acceptor) {}
+    Client(Loop& loop, DownstreamServer& server) : Stream(loop), server_(server) {}
 
     void answer(std::uint64_t number, const Answer& answer) {
         if (number < first_ || number - first_ >= entries_.size()) return;
         Entry& entry = entries_[static_cast<std::size_t>(number - first_)];
-        entry.call = {};
+        entry.request = {};
         entry.done = true;
-        // Cut short: the client can tell by the end of its connection alone, and has the answers before it.
+        // A truncated value: only the close of the connection tells the client. Earlier answers are written.
         if (answer.passed && answer.verdict != Verdict::kServed) {
             withdraw_all();
-            return leave();
+            return close_gracefully();
         }
         if (number == first_) {
             write_answer(to_write(), answer);
@@ -74,105 +77,110 @@
             write_answer(entry.reply, answer);
         }
         note_unsent();
-        // Guards the memory against clients that ask and do not read.
-        if (unsent() > kMaxUnsent || (unsent() > kMuchUnsent && acceptor_.unsent_ > acceptor_.max_unsent_)) {
+        // Limits the memory used by clients that send requests but do not read the answers.
+        if (unsent() > kMaxUnsent ||
+            (unsent() > kPauseReadingUnsent && server_.unsent_ > server_.max_unsent_)) {
             withdraw_all();
             close();
         }
     }
     void begin_value(std::uint64_t number, std::size_t size) {
         if (Entry* entry = find(number)) {
-            entry->passing = true;
-            out_of(*entry, number).append(1, '$').append(std::to_string(size)).append(kLineEnd);
+            entry->streaming = true;
+            output_of(*entry, number).append(1, '$').append(std::to_string(size)).append(kLineEnd);
         }
     }
-    // One whose turn has not come is read no further: one buffer of it waits here.
+    // A value whose turn has not come is paused after one buffer, which is kept here.
     bool pass_value(std::uint64_t number, std::string_view piece) {
         Entry* const entry = find(number);
         if (!entry) return false;
-        out_of(*entry, number).append(piece);
+        output_of(*entry, number).append(piece);
         note_unsent();
-        const bool crowded = acceptor_.unsent_ > acceptor_.max_unsent_;
-        return number == first_ && unsent() <= (crowded ? 0 : kMuchUnsent);
+        const bool over_limit = server_.unsent_ > server_.max_unsent_;
+        return number == first_ && unsent() <= (over_limit ? 0 : kPauseReadingUnsent);
     }
     void note_unsent() {
-        acceptor_.unsent_ -= std::exchange(noted_unsent_, closing() ? 0 : unsent());
-        acceptor_.unsent_ += noted_unsent_;
+        server_.unsent_ -= std::exchange(noted_unsent_, closing() ? 0 : unsent());
+        server_.unsent_ += noted_unsent_;
     }
-    // Closing at once could destroy answers that the client has not read yet, where bytes of its are unread.
-    void leave() {
+    // Closes after the client has had time to read. An immediate close with unread input would reset the
+    // connection and could destroy answers that the client has not read yet.
+    void close_gracefully() {
         if (finishing() || closing()) return;
         finish();
-        see_off();
-    }
-    bool waits() const { return !entries_.empty() || unsent() > 0; }
-    // Guards against a close that crosses a call: a command that has begun to come is waited for.
-    void go_if_idle() {
-        if (closing() || finishing() || passing_ || waits() || half_since_ != Timestamp{}) return;
-        if (acceptor_.pass_) return pass();
-        if (acceptor_.retiring_ && (turned_away_ || is_quiet())) leave();
-    }
-    void stay() {
-        if (std::exchange(passing_, false)) read_more(true);
-    }
-    // Guards against clients that never ask, stop amid a command, or ask once and stay for good: where
-    // connections run short, they hold what others need.
-    void look_over(Timestamp now, bool crowded) {
-        if (closing() || finishing() || passing_ || waits()) return;
-        if (half_since_ != Timestamp{}) {
-            // Guards the room for bodies against one that gives a byte now and then.
-            const bool body_late = body_.left > 0 && now - body_.begun > acceptor_.body_within_;
-            if (now - half_since_ <= kPatienceHalf && !body_late) return;
+        linger();
+    }
+    bool has_pending_answers() const { return !entries_.empty() || unsent() > 0; }
+    // Closes or hands over an idle connection. Waits for a command that has started to arrive, because a
+    // close would lose it.
+    void release_if_idle() {
+        if (closing() || finishing() || handing_over_ || has_pending_answers() ||
+            incomplete_since_ != Timestamp{})
+            return;
+        if (server_.pass_) return pass();
+        if (server_.retiring_ && (rejecting_ || is_quiet())) close_gracefully();
+    }
+    void cancel_handover() {
+        if (std::exchange(handing_over_, false)) read_more(true);
+    }
+    // Closes connections of clients that never send a request, stop within a command, or stay idle after a
+    // request: they occupy connections that others need.
+    void check_timeouts(Timestamp now, bool is_half_full) {
+        if (closing() || finishing() || handing_over_ || has_pending_answers()) return;
+        if (incomplete_since_ != Timestamp{}) {
+            // Frees the memory reserved for a body that arrives too slowly.
+            const bool body_late = body_.left > 0 && now - body_.begun > server_.body_timeout_;
+            if (now - incomplete_since_ <= kIncompleteTimeout && !body_late) return;
             drop_body();
             reply("-ERR command is not whole\r\n");
-            leave();
-        } else if (acceptor_.retiring_ || acceptor_.pass_) {
-            go_if_idle();
-        } else if (now - used > kPatience && (!asked || crowded) && is_quiet()) {
-            leave();
+            close_gracefully();
+        } else if (server_.retiring_ || server_.pass_) {
+            release_if_idle();
+        } else if (now - last_used > kIdleTimeout && (!asked || is_half_full) && is_quiet()) {
+            close_gracefully();
         }
     }
-    // Who gives way first where there is no room: lowest.
-    std::tuple<int, bool, Timestamp> claim(Timestamp now) const {
-        // A crowd stops half way after one piece; a slow client goes on, and its call would be lost. One that
-        // is idle loses nothing: it comes again.
-        constexpr int kSilent = 0, kStopped = 1, kIdle = 2, kBegun = 3;
-        if (finishing()) return {kSilent, unsent() > 0, used};
-        if (half_since_ != Timestamp{}) {
-            const bool stops = pieces_ <= 1 && now - heard_ > kStopsAfter;
-            return {stops ? kStopped : kBegun, unsent() > 0, heard_};
+    // Order of eviction when there is no room: the lowest rank is closed first.
+    std::tuple<int, bool, Timestamp> eviction_rank(Timestamp now) const {
+        // An abandoned command stops after one read; a slow client continues, and would lose its request. An
+        // idle client loses nothing: it reconnects.
+        constexpr int kNoRequest = 0, kStalled = 1, kIdle = 2, kReceiving = 3;
+        if (finishing()) return {kNoRequest, unsent() > 0, last_used};
+        if (incomplete_since_ != Timestamp{}) {
+            const bool stops = reads_of_command_ <= 1 && now - last_bytes_at_ > kStalledAfter;
+            return {stops ? kStalled : kReceiving, unsent() > 0, last_bytes_at_};
         }
-        return {asked ? kIdle : kSilent, unsent() > 0, used};
+        return {asked ? kIdle : kNoRequest, unsent() > 0, last_used};
     }
-    // Not one whose next call lies there unread, which would be lost.
-    bool may_give_way() const {
-        if (closing() || passing_ || !entries_.empty()) return false;
-        return finishing() || half_since_ != Timestamp{} || is_quiet();
+    // Not if the next request is waiting unread in the socket: it would be lost.
+    bool can_be_evicted() const {
+        if (closing() || handing_over_ || !entries_.empty()) return false;
+        return finishing() || incomplete_since_ != Timestamp{} || is_quiet();
     }
 
     void withdraw_all() {
         drop_body();
-        for (const Entry& entry : std::exchange(entries_, {})) acceptor_.gateway_.withdraw(entry.call);
+        for (const Entry& entry : std::exchange(entries_, {})) server_.gateway_.withdraw(entry.request);
     }
 
     Handle self;
-    Timestamp used{};    // when it came, or when its last call did
-    bool asked = false;  // for a call, ever
+    Timestamp last_used{};  // when it connected, or when its last request arrived
+    bool asked = false;     // has sent a request
 
 private:
     struct Entry {
-        Handle call;
-        std::string reply;  // held back until those before it are answered
+        Handle request;
+        std::string reply;  // held back until the earlier commands are answered
         bool done = false;
-        bool passing = false;  // a long value, in pieces
+        bool streaming = false;  // a long value
     };
-    // A command whose long body is still to come.
+    // A command whose long body is being received.
     struct Body {
-        proxy::DownstreamRequest call;
-        const char* problem = nullptr;  // told once the body is skipped
-        bool has_room = false;          // the body is kept
-        std::size_t room = 0;           // reserved in the core
-        std::size_t left = 0;           // bytes to come, its end of line with them
+        proxy::DownstreamRequest request;
+        const char* problem = nullptr;  // error to reply once the body is skipped
+        bool has_room = false;          // the body is stored
+        std::size_t room = 0;           // bytes reserved in the request manager
+        std::size_t left = 0;           // bytes still to arrive, including the line end
         Timestamp begun{};
     };
 
@@ -180,7 +188,7 @@
         const bool here = number >= first_ && number - first_ < entries_.size();
         return here ? &entries_[static_cast<std::size_t>(number - first_)] : nullptr;
     }
-    std::string& out_of(Entry& entry, std::uint64_t number) {
+    std::string& output_of(Entry& entry, std::uint64_t number) {
         return number == first_ ? to_write() : entry.reply;
     }
 
@@ -188,40 +196,40 @@
         if (last_) return bytes.size();
         std::size_t taken = 0;
         const Timestamp now = loop().now();
-        heard_ = now;
-        ++pieces_;
+        last_bytes_at_ = now;
+        ++reads_of_command_;
         while (taken < bytes.size() && !closing() && !finishing()) {
             if (body_.left > 0) {
-                half_since_ = now;  // slow ones are waited for as long as something comes
-                taken += take_body(bytes.substr(taken));
+                incomplete_since_ = now;  // a slow body may go on as long as bytes arrive
+                taken += consume_body(bytes.substr(taken));
                 continue;
             }
-            if (entries_.size() >= kMaxPipelined || unsent() > kMuchUnsent) {
-                read_more(false);  // goes on in on_written()
-                acceptor_.watch_unread(self);
+            if (entries_.size() >= kMaxPipelined || unsent() > kPauseReadingUnsent) {
+                read_more(false);  // resumed in on_written()
+                server_.watch_unread(self);
                 break;
             }
-            resp::Message& message = acceptor_.message_;
-            const resp::Parsed parsed = resp::parse(bytes.substr(taken), message, kMaxSmall);
+            resp::Message& message = server_.message_;
+            const resp::Parsed parsed = resp::parse(bytes.substr(taken), message, kMaxBufferedBody);
             if (parsed == resp::Parsed::kLongBulk && begin_body(message)) {
-                half_since_ = now;
+                incomplete_since_ = now;
                 taken += message.size;
                 continue;
             }
             if (parsed == resp::Parsed::kPartial) {
-                if (taken > 0 || half_since_ == Timestamp{}) half_since_ = now;
+                if (taken > 0 || incomplete_since_ == Timestamp{}) incomplete_since_ = now;
                 return taken;
             }
-            half_since_ = {};
+            incomplete_since_ = {};
             const bool command = parsed == resp::Parsed::kWhole && message.array;
-            if (!command) {  // what follows cannot be told apart any more
+            if (!command) {  // the start of the next command is unknown
                 reply("-ERR protocol error\r\n");
                 last_ = true;
                 finish_if_last();
                 return bytes.size();
             }
             taken += message.size;
-            pieces_ = 0;
+            reads_of_command_ = 0;
             on_command(message);
         }
         return taken;
@@ -233,13 +241,13 @@
             if (item.type != resp::Type::kBulk) return reply("-ERR commands are arrays of bulk strings\r\n");
         }
         const std::string_view verb = message.items.front().text;
-        if (verb == "Q.ASK" || verb == "Q.DO") return on_call(message);
-        if (verb == "PING") return reply(acceptor_.says_yes_ ? "+PONG\r\n" : "-ERR draining\r\n");
+        if (verb == "Q.ASK" || verb == "Q.DO") return on_request(message);
+        if (verb == "PING") return reply(server_.answers_pings_ ? "+PONG\r\n" : "-ERR draining\r\n");
         if (verb == "CLIENT" || verb == "SELECT") return reply("+OK\r\n");
         reply("-ERR unknown command\r\n");
     }
 
-    // False: no command has a long one there.
+    // Starts to receive a long body. False: the command cannot have one at this place.
     bool begin_body(const resp::Message& message) {
         constexpr std::size_t kBefore = 4;
         if (!message.array || message.count != kBefore + 1 || message.items.size() != kBefore) return false;
@@ -252,74 +260,74 @@
         body_.begun = loop().now();
         body_.left = message.left + kLineEnd.size();
         resp::Message head = message;
-        proxy::RequestManager& gateway = acceptor_.gateway_;
-        // Room first: reading the head makes the body's.
-        const std::size_t room = message.left + kMaxSmall;
+        proxy::RequestManager& gateway = server_.gateway_;
+        // Reserve first: read_request() allocates the memory of the body.
+        const std::size_t room = message.left + kMaxBufferedBody;
         body_.has_room = gateway.reserve(room);
         body_.room = body_.has_room ? room : 0;
         if (!body_.has_room) head.left = 0;
-        body_.problem = resp::read_call(head, acceptor_.names_, body_.begun, body_.call);
+        body_.problem = resp::read_request(head, server_.names_, body_.begun, body_.request);
         return true;
     }
 
-    std::size_t take_body(std::string_view bytes) {
+    std::size_t consume_body(std::string_view bytes) {
         const std::size_t size = std::min(bytes.size(), body_.left);
         body_.left -= size;
-        // The end of line is kept as it came, and looked at when it is whole.
-        std::string& kept = body_.call.payload.bytes;
+        // The line end is stored with the body and checked when both are complete.
+        std::string& kept = body_.request.payload.bytes;
         if (body_.has_room && !body_.problem) kept.append(bytes.substr(0, size));
         if (body_.left > 0) return size;
-        half_since_ = {};
+        incomplete_since_ = {};
         Body body = std::exchange(body_, {});
-        acceptor_.gateway_.give_back(body.room);
+        server_.gateway_.give_back(body.room);
         if (body.problem) {
             reply("-ERR " + std::string(body.problem) + "\r\n");
         } else if (!body.has_room) {
             asked = true;
-            used = loop().now();
-            acceptor_.gateway_.turned_away(body.call.request.traffic_class);
+            last_used = loop().now();
+            server_.gateway_.turned_away(body.request.request.traffic_class);
             reply("-BUSY\r\n");
-        } else if (kept_end(body.call.payload.bytes) != kLineEnd) {
+        } else if (last_bytes(body.request.payload.bytes) != kLineEnd) {
             reply("-ERR protocol error\r\n");
             last_ = true;
             finish_if_last();
         } else {
-            body.call.request.due += loop().now() - body.begun;  // its time counts from its last byte
-            take(std::move(body.call));
+            body.request.request.due += loop().now() - body.begun;  // its deadline counts from the last byte
+            submit(std::move(body.request));
         }
         return size;
     }
-    static std::string_view kept_end(std::string_view bytes) {
+    static std::string_view last_bytes(std::string_view bytes) {
         return bytes.substr(bytes.size() - std::min(bytes.size(), kLineEnd.size()));
     }
     void drop_body() {
-        acceptor_.gateway_.give_back(body_.room);
+        server_.gateway_.give_back(body_.room);
         body_ = {};
     }
 
-    void on_call(const resp::Message& message) {
-        proxy::DownstreamRequest call;
-        if (const char* error = resp::read_call(message, acceptor_.names_, loop().now(), call)) {
+    void on_request(const resp::Message& message) {
+        proxy::DownstreamRequest request;
+        if (const char* error = resp::read_request(message, server_.names_, loop().now(), request)) {
             return reply("-ERR " + std::string(error) + "\r\n");
         }
-        take(std::move(call));
+        submit(std::move(request));
     }
 
-    void take(proxy::DownstreamRequest call) {
+    void submit(proxy::DownstreamRequest request) {
         asked = true;
-        used = loop().now();
-        turned_away_ = acceptor_.ends_ || (acceptor_.retiring_ && (turned_away_ || !entries_.empty()));
-        if (turned_away_) {
-            acceptor_.gateway_.turned_away(call.request.traffic_class);
+        last_used = loop().now();
+        rejecting_ = server_.rejects_all_ || (server_.retiring_ && (rejecting_ || !entries_.empty()));
+        if (rejecting_) {
+            server_.gateway_.turned_away(request.request.traffic_class);
             return reply("-BUSY\r\n");
         }
         const std::uint64_t number = first_ + entries_.size();
         entries_.emplace_back();
-        const Handle handle = acceptor_.gateway_.take(std::move(call), acceptor_, {self.packed(), number});
-        if (handle && number >= first_) entries_[static_cast<std::size_t>(number - first_)].call = handle;
+        const Handle handle = server_.gateway_.take(std::move(request), server_, {self.packed(), number});
+        if (handle && number >= first_) entries_[static_cast<std::size_t>(number - first_)].request = handle;
     }
 
-    // An answer of the acceptor's own, in its turn.
+    // Writes an answer of the server itself, after those of the earlier commands.
     void reply(std::string text) {
         if (entries_.empty()) {
             to_write().append(text);
@@ -335,61 +343,61 @@
             if (entries_.empty()) break;
             to_write().append(std::exchange(entries_.front().reply, {}));
         } while (entries_.front().done);
-        // A long value whose turn has come goes on when what of it waited here is written.
+        // A paused long value resumes when its buffered part is written.
         finish_if_last();
     }
 
-    // What lies unread in the socket goes with it: no close crosses a call.
+    // Hands the connection to another process. Unread bytes stay in the socket, so no request is lost.
     void pass() {
-        passing_ = true;
+        handing_over_ = true;
         read_more(false);
-        acceptor_.pass_(handle(), asked, [&clients = acceptor_.clients_, me = self](bool sent) {
+        server_.pass_(handle(), asked, [&clients = server_.clients_, me = self](bool sent) {
             Client* const client = clients.find(me);
-            if (client) sent ? client->close() : client->stay();
+            if (client) sent ? client->close() : client->cancel_handover();
         });
     }
 
     void finish_if_last() {
-        if (last_ && entries_.empty()) leave();
+        if (last_ && entries_.empty()) close_gracefully();
     }
 
-    // Of one that is asked to go: it may take the time it needs to read what it is owed, as long as it does.
-    void see_off() {
-        loop().arm(loop().now() + kFarewell, [&clients = acceptor_.clients_, me = self, left = unsent()] {
+    // Delays the close while the client keeps reading its answers.
+    void linger() {
+        loop().arm(loop().now() + kLingerStep, [&clients = server_.clients_, me = self, left = unsent()] {
             Client* const client = clients.find(me);
             if (!client || client->closing()) return;
-            client->unsent() < left ? client->see_off() : client->close();
+            client->unsent() < left ? client->linger() : client->close();
         });
     }
 
     void on_written() override {
         note_unsent();
-        if (!entries_.empty() && entries_.front().passing) acceptor_.gateway_.go_on(entries_.front().call);
+        if (!entries_.empty() && entries_.front().streaming) server_.gateway_.go_on(entries_.front().request);
         if (entries_.size() < kMaxPipelined) {
             read_more(true);
             take_rest();
         }
-        go_if_idle();
+        release_if_idle();
     }
-    // The client has gone away: nobody waits for its calls.
+    // The client has disconnected: its requests are withdrawn.
     void on_end(int) override { withdraw_all(); }
     void on_released() override {
         drop_body();
         note_unsent();
-        acceptor_.clients_.remove(self);
+        server_.clients_.remove(self);
     }
 
-    DownstreamServer& acceptor_;
+    DownstreamServer& server_;
     Body body_;
-    std::deque<Entry> entries_;  // commands without an answer, in their order
-    std::uint64_t first_ = 0;    // number of the first of them
+    std::deque<Entry> entries_;  // unanswered commands, in order
+    std::uint64_t first_ = 0;    // number of entries_.front()
     std::size_t noted_unsent_ = 0;
-    Timestamp heard_{};         // when bytes came last
-    int pieces_ = 0;            // in which the command that is not whole yet has come so far
-    Timestamp half_since_{};    // when the command that is not whole yet began
-    bool passing_ = false;      // to another process
-    bool turned_away_ = false;  // a call, since it is to go: so are all that follow
-    bool last_ = false;         // no command is read any more
+    Timestamp last_bytes_at_{};     // when the last bytes arrived
+    int reads_of_command_ = 0;      // reads that the incomplete command has taken so far
+    Timestamp incomplete_since_{};  // when the incomplete command started
+    bool handing_over_ = false;     // to another process
+    bool rejecting_ = false;        // a request was rejected while draining; so are all that follow
+    bool last_ = false;             // no further command is read
 };
 
 DownstreamServer::DownstreamServer(Loop& loop, proxy::RequestManager& gateway,
@@ -399,87 +407,87 @@
       names_(settings),
       max_clients_(limits.clients),
       max_unsent_(limits.unsent),
-      body_within_(limits.body),
+      body_timeout_(limits.body),
       listener_(loop) {}
 DownstreamServer::~DownstreamServer() = default;
 
 int DownstreamServer::listen(const sockaddr_storage& address) {
     const int error = listener_.open(
         address, true, [this](uv_stream_t* listener, int status) { on_connection(listener, status); });
-    if (error == 0) look_over();
+    if (error == 0) check_timeouts();
     return error;
 }
 
 int DownstreamServer::start() {
     const int error =
         listener_.start([this](uv_stream_t* listener, int status) { on_connection(listener, status); });
-    if (error == 0) look_over();
+    if (error == 0) check_timeouts();
     return error;
 }
 
 void DownstreamServer::pass_on(Pass pass) {
     pass_ = std::move(pass);
     if (pass_) {
-        end_hold();
+        end_deferral();
         listener_.pause();
-        clients_.for_each([](Handle, Client& client) { client.go_if_idle(); });
+        clients_.for_each([](Handle, Client& client) { client.release_if_idle(); });
     } else {
         listener_.resume();
-        clients_.for_each([](Handle, Client& client) { client.stay(); });
+        clients_.for_each([](Handle, Client& client) { client.cancel_handover(); });
     }
 }
 
 void DownstreamServer::take_in(uv_stream_t* from, bool asked) {
-    let_in(asked, make_room(), [from](Client& client) { return client.accept(from); });
+    add_client(asked, make_room(), [from](Client& client) { return client.accept(from); });
 }
 
-// One that is not accepted here stays with libuv, which brings no other before it.
+// A connection that is not accepted here stays with libuv, which reports no other one before it.
 void DownstreamServer::on_connection(uv_stream_t* listener, int status) {
     if (status < 0) return;  // out of descriptors: libuv has refused it
     const Timestamp now = loop_.now();
     const bool room = make_room();
-    if (room) hold_until_ = {};
-    if (!room && hold_until_ == Timestamp{}) hold_until_ = now + kHeldFor;
-    if (!room && now < hold_until_) {
-        hold_ = loop_.arm(now + kHoldStep, [this] {
-            hold_ = {};
+    if (room) defer_until_ = {};
+    if (!room && defer_until_ == Timestamp{}) defer_until_ = now + kMaxAcceptDelay;
+    if (!room && now < defer_until_) {
+        deferred_accept_ = loop_.arm(now + kAcceptRetryDelay, [this] {
+            deferred_accept_ = {};
             on_connection(listener_.stream(), 0);
         });
         return;
     }
-    let_in(false, room, [listener](Client& client) { return client.accept(listener); });
+    add_client(false, room, [listener](Client& client) { return client.accept(listener); });
 }
 
-// Before the listener goes: one that is held would go with it.
-void DownstreamServer::end_hold() {
-    if (!hold_) return;
-    loop_.disarm(std::exchange(hold_, {}));
-    let_in(false, make_room(), [this](Client& client) { return client.accept(listener_.stream()); });
+// Called before the listener closes, which would reset the connection whose accept is deferred.
+void DownstreamServer::end_deferral() {
+    if (!deferred_accept_) return;
+    loop_.disarm(std::exchange(deferred_accept_, {}));
+    add_client(false, make_room(), [this](Client& client) { return client.accept(listener_.stream()); });
 }
 
 template <typename Connect>
-void DownstreamServer::let_in(bool asked, bool room, Connect connect) {
+void DownstreamServer::add_client(bool asked, bool room, Connect connect) {
     const Handle handle = clients_.add(loop_, *this);
     Client& client = *clients_.find(handle);
     client.self = handle;
-    client.used = loop_.now();
+    client.last_used = loop_.now();
     client.asked = asked;
     if (connect(client) != 0 || !room) client.close();
 }
 
-// At the limit one that waits for nothing gives way: one that never asked, before the one idle longest, which
-// comes again when it needs to. Shortly before it, one is asked to go, which costs no call that is on its
-// way.
+// At the limit, closes a connection that waits for nothing: first one that never sent a request, then the one
+// idle longest, whose client can reconnect. Shortly below the limit, closes one gracefully, so that no
+// request on its way is lost.
 bool DownstreamServer::make_room() {
     const bool full = clients_.size() >= max_clients_;
-    if (clients_.size() < max_clients_ - max_clients_ / kPartingPart) return true;
+    if (clients_.size() < max_clients_ - max_clients_ / kFreePart) return true;
     const Timestamp now = loop_.now();
     Client* least = nullptr;
     clients_.for_each([&](Handle, Client& client) {
-        if (least && client.claim(now) >= least->claim(now)) return;
-        if ((full || !client.finishing()) && client.may_give_way()) least = &client;
+        if (least && client.eviction_rank(now) >= least->eviction_rank(now)) return;
+        if ((full || !client.finishing()) && client.can_be_evicted()) least = &client;
     });
-    if (least) full ? least->close() : least->leave();
+    if (least) full ? least->close() : least->close_gracefully();
     return least || !full;
 }
 
@@ -487,10 +495,10 @@
     if (std::find(unread_.begin(), unread_.end(), client) != unread_.end()) return;
     unread_.push_back(client);
     if (unread_.size() > 1) return;
-    look_at_unread_ = loop_.arm(loop_.now() + kLookAtUnreadEvery, [this] { look_at_unread(); });
+    unread_check_ = loop_.arm(loop_.now() + kUnreadCheckInterval, [this] { check_unread(); });
 }
 
-void DownstreamServer::look_at_unread() {
+void DownstreamServer::check_unread() {
     for (const Handle handle : std::exchange(unread_, {})) {
         Client* const client = clients_.find(handle);
         if (!client || client->closing() || client->reads() || client->end_if_ended()) continue;
@@ -498,11 +506,11 @@
     }
 }
 
-void DownstreamServer::look_over() {
+void DownstreamServer::check_timeouts() {
     const Timestamp now = loop_.now();
-    const bool crowded = clients_.size() > max_clients_ / 2;
-    clients_.for_each([&](Handle, Client& client) { client.look_over(now, crowded); });
-    look_over_ = loop_.arm(now + kLookOverEvery, [this] { look_over(); });
+    const bool is_half_full = clients_.size() > max_clients_ / 2;
+    clients_.for_each([&](Handle, Client& client) { client.check_timeouts(now, is_half_full); });
+    timeout_check_ = loop_.arm(now + kTimeoutCheckInterval, [this] { check_timeouts(); });
 }
 
 void DownstreamServer::answer(const Ticket& ticket, const Answer& answer) {
@@ -520,12 +528,11 @@
     return client && !client->closing() && client->pass_value(ticket.number, piece);
 }
 
-// Whoever has connected by then is let in: those whom the system still holds would be reset with the
-// listener.
+// Accepts the connections in the kernel's backlog first: closing the listener would reset them.
 void DownstreamServer::stop_listening() {
-    end_hold();
+    end_deferral();
     listener_.take_backlog([this](uv_os_sock_t connected) {
-        let_in(false, make_room(), [connected](Client& client) { return client.open(connected); });
+        add_client(false, make_room(), [connected](Client& client) { return client.open(connected); });
     });
     listener_.close();
 }
@@ -533,14 +540,14 @@
 void DownstreamServer::retire(bool on) {
     retiring_ = on;
     if (!on) return;
-    clients_.for_each([](Handle, Client& client) { client.go_if_idle(); });
+    clients_.for_each([](Handle, Client& client) { client.release_if_idle(); });
 }
 
 void DownstreamServer::close() {
-    end_hold();
+    end_deferral();
     listener_.close();
-    loop_.disarm(look_over_);
-    loop_.disarm(look_at_unread_);
+    loop_.disarm(timeout_check_);
+    loop_.disarm(unread_check_);
     clients_.for_each([](Handle, Client& client) {
         client.withdraw_all();
         client.close();
--- a/src/proxy/downstream_server.h
+++ b/src/proxy/downstream_server.h
@@ -1,4 +1,6 @@
-// The clients' side: takes their commands, hands the calls to the core, answers in the commands' order.
+// Server for the client connections. Reads commands, hands requests to the request manager and writes the
+// answers in the order of the commands. Created by the gateway process, which also drains it for a hot
+// restart.
 #pragma once
 
 #include <deque>
@@ -17,8 +19,8 @@
 public:
     struct Limits {
         std::size_t clients = 512;                        // connections
-        std::size_t unsent = 32 * 1024 * 1024;            // bytes, to all clients
-        proxy::Duration body = std::chrono::seconds(20);  // for a long body to come whole
+        std::size_t unsent = 32 * 1024 * 1024;            // bytes not yet written, over all clients
+        proxy::Duration body = std::chrono::seconds(20);  // to receive a long body completely
     };
     DownstreamServer(Loop& loop, proxy::RequestManager& gateway, const policy::Settings& settings,
                      Limits limits);
@@ -28,32 +30,33 @@
     int listen(const sockaddr_storage& address);
     int port() const { return listener_.port(); }
     void stop_listening();
-    // Ends the connections that wait for no answer, and the others once they have theirs; what comes behind
-    // an open call is turned away, or a client that always has one would stay. False: no more.
+    // Drains: closes idle connections, and the others after their answers. A request that arrives while
+    // another is open on the connection is rejected; otherwise a client that always has one open would never
+    // be closed. False: stops draining.
     void retire(bool on);
-    // Once retired, at the very end: every open request gets its answer, and what is read from now on is
-    // turned away at once. A value that has begun to go out goes on.
+    // The last step of a drain: answers every open request and rejects all later ones at once. A value that
+    // is being streamed continues.
     void answer_all() {
-        ends_ = true;
+        rejects_all_ = true;
         gateway_.answer_all();
     }
-    // To hand over to another process; null: does not listen.
+    // The listening socket, for handing it to another process; null if not listening.
     uv_stream_t* listening() const { return listener_.stream(); }
-    // The listening socket of another process, which accepts until start().
+    // Adopts the listening socket of another process, which accepts connections until start().
     int adopt(uv_stream_t* from) { return listener_.adopt(from); }
     int start();
-    // Another process accepts from now on: connections that wait for nothing are passed on by this, as they
-    // come to that; null: no longer, and this one accepts again.
+    // Another process accepts connections from now on. Each connection is passed to it when it becomes idle.
+    // `asked`: the client has sent a request before. Null: stops this and accepts connections here again.
     using Pass = std::function<void(uv_stream_t* client, bool asked, std::function<void(bool)> sent)>;
     void pass_on(Pass pass);
-    // A connection that another process has passed on.
+    // Takes a connection that another process passed on.
     void take_in(uv_stream_t* from, bool asked);
     void limit_unsent(std::size_t bytes) { max_unsent_ = bytes; }
-    // What PING hears.
-    void answer_pings(bool with_yes) { says_yes_ = with_yes; }
+    // Whether PING is answered with PONG or with an error, as while draining.
+    void answer_pings(bool with_yes) { answers_pings_ = with_yes; }
     void close();
     bool empty() const { return clients_.size() == 0; }
-    // Whether clients are still taking answers that have begun to go out.
+    // Whether answers are still being written or streamed to clients.
     bool is_writing() const { return unsent_ > 0 || gateway_.counts().in_progress > 0; }
 
     void answer(const proxy::Ticket& ticket, const proxy::Answer& answer) override;
@@ -64,33 +67,33 @@
     class Client;
 
     void on_connection(uv_stream_t* listener, int status);
-    void end_hold();
+    void end_deferral();
     template <typename Connect>
-    void let_in(bool asked, bool room, Connect connect);
+    void add_client(bool asked, bool room, Connect connect);
     bool make_room();
-    void look_over();
+    void check_timeouts();
     void watch_unread(proxy::Handle client);
-    void look_at_unread();
+    void check_unread();
 
     Loop& loop_;
     proxy::RequestManager& gateway_;
     resp::Names names_;
     std::size_t max_clients_;
     std::size_t max_unsent_;
-    proxy::Duration body_within_;
+    proxy::Duration body_timeout_;
     std::size_t unsent_ = 0;
     Listener listener_;
-    proxy::Handle look_over_;
-    proxy::Handle look_at_unread_;
-    proxy::Handle hold_;                 // one that has come is not accepted until there is room, for a while
-    proxy::Timestamp hold_until_{};      // of those that come now; 0: there was room
-    std::vector<proxy::Handle> unread_;  // clients from which nothing is read for now
+    proxy::Handle timeout_check_;
+    proxy::Handle unread_check_;
+    proxy::Handle deferred_accept_;      // timer of a connection whose accept waits for room
+    proxy::Timestamp defer_until_{};     // deadline of the waiting accept; 0: there was room
+    std::vector<proxy::Handle> unread_;  // clients whose reading is paused
     proxy::SlotMap<Client> clients_;
     resp::Message message_;  // of the command being read
     Pass pass_;
     bool retiring_ = false;
-    bool ends_ = false;
-    bool says_yes_ = true;
+    bool rejects_all_ = false;
+    bool answers_pings_ = true;
 };
 
 }  // namespace linnetlead::net
--- a/src/proxy/new_tenant_limiter.h
+++ b/src/proxy/new_tenant_limiter.h
@@ -1,8 +1,9 @@
-// Who calls: the accounts of late, within a bound. The module keeps a state for every account that has called
-// within some intervals; a client that calls under ever-new accounts would fill the memory with them, and
-// the endpoints with a fresh store for each. Where the table is nearly full, accounts that are not
-// established pass only as a small part of the established ones' calls. No quota is touched: who passes is
-// known to the module by its own name. No I/O, no clock.
+// Bounds the number of recently seen accounts. The decision module keeps state for every account that sent a
+// request within the last intervals. A client that uses a new account for each request would exhaust the
+// memory, and would reach the endpoints with a full token bucket for each account. When the table is nearly
+// full, accounts that are not established are admitted only at a small fraction of the established accounts'
+// request rate. Quotas are not affected: the module sees an admitted request under its own account. Called by
+// the request manager for every request. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -19,38 +20,39 @@
 
 class NewTenantLimiter {
 public:
-    // `most`: accounts held; 0: no bound, and nothing is kept.
-    explicit NewTenantLimiter(std::size_t most) : most_(most) {}
+    // `max_accounts`: capacity of the table; 0: no bound, and nothing is stored.
+    explicit NewTenantLimiter(std::size_t max_accounts) : max_accounts_(max_accounts) {}
 
-    // A call of this account's; false: it is to be refused.
+    // Records a request of the account. False: the request has to be rejected.
     bool passes(Timestamp now, const std::string& account);
 
     std::size_t accounts() const { return accounts_.size(); }
-    bool crowded(Timestamp now) const { return now < crowded_until_; }
-    std::uint64_t turned_away() const { return turned_away_; }
+    bool is_limiting(Timestamp now) const { return now < limiting_until_; }
+    std::uint64_t turned_away() const { return rejected_; }
 
-    // Of memory, that an account costs here and in the module.
+    // Memory per account, here and in the decision module.
     static constexpr std::size_t kBytesEach = 700;
 
 private:
     struct Seen {
         Timestamp first{}, last{};
-        std::uint32_t calls = 0;
-        std::list<std::uint64_t>::iterator place;  // in its list, the one seen last at the end
+        std::uint32_t requests = 0;
+        std::list<std::uint64_t>::iterator place;  // in its list, which is ordered by `last`
         bool established = false;
     };
-    void forget(Timestamp now);
+    // Removes expired accounts.
+    void expire(Timestamp now);
     bool take_token(Timestamp now);
 
-    std::size_t most_;
+    std::size_t max_accounts_;
     std::unordered_map<std::uint64_t, Seen> accounts_;
-    std::list<std::uint64_t> guests_, established_;  // by when they were seen last
-    Timestamp crowded_until_{};
-    std::uint64_t new_ones_ = 0;  // within the second
+    std::list<std::uint64_t> new_accounts_, established_;  // by last request, oldest first
+    Timestamp limiting_until_{};
+    std::uint64_t new_in_second_ = 0;  // accounts first seen since counted_since_
     Timestamp counted_since_{};
     double tokens_ = 0;
     Timestamp tokens_at_{};
-    std::uint64_t turned_away_ = 0;
+    std::uint64_t rejected_ = 0;
 };
 
 }  // namespace linnetlead::proxy
--- a/src/proxy/one_shot_client.cpp
+++ b/src/proxy/one_shot_client.cpp
@@ -48,7 +48,7 @@
 void OneShotClient::ask(const std::string& address, std::string command, proxy::Duration within,
                         Ended ended) {
     sockaddr_storage to{};
-    if (closed_ || connections_.size() >= kMost || !read_address(address, to)) return ended({});
+    if (closed_ || connections_.size() >= kMaxPending || !read_address(address, to)) return ended({});
     const proxy::Handle handle = connections_.add(loop_, *this, std::move(command), within, std::move(ended));
     Connection& connection = *connections_.find(handle);
     connection.self = handle;
--- a/src/proxy/one_shot_client.h
+++ b/src/proxy/one_shot_client.h
@@ -1,5 +1,5 @@
-// One command to an endpoint over a connection of its own, and its answer: what a gateway asks for itself,
-// beside the calls that it passes on.
+// Sends one command to an endpoint over a separate connection and reports the reply. Used for the commands
+// that the gateway issues itself, as opposed to the requests that it forwards.
 #pragma once
 
 #include <functional>
@@ -12,13 +12,13 @@
 
 class OneShotClient {
 public:
-    // How it ended, and an error answer's text, valid only while it is told.
+    // Receives the result. An error reply's text is valid only during the callback.
     using Ended = std::function<void(const proxy::AttemptEnd& end)>;
-    static constexpr std::size_t kMost = 16;  // at once
+    static constexpr std::size_t kMaxPending = 16;  // concurrent commands
 
     explicit OneShotClient(Loop& loop);
     ~OneShotClient();
-    // `command`: whole. Ends in one `ended`, also where there is no room for it.
+    // `command` is complete. Invokes `ended` exactly once, also if too many commands are outstanding.
     void ask(const std::string& address, std::string command, proxy::Duration within, Ended ended);
     void close();
 
--- a/src/proxy/peer_counter.h
+++ b/src/proxy/peer_counter.h
@@ -1,10 +1,11 @@
-// The counter where the site has no counter service: each count is kept by one gateway of the tier, told by
-// its name, and the others ask that one by datagrams. Without it a gateway of hundreds knows of no one's use
-// but its own, and an even part of a small quota lets next to nothing through.
+// The shared counter for sites without a counter service. The name of a counter selects the gateway of the
+// group that stores it; the other gateways send that one their requests as datagrams. Without it each of
+// hundreds of gateways would know only its own usage, and an even share of a small quota admits almost
+// nothing.
 //
-// One datagram asks, one answers; a lost one is a call that found no answer in time. A gateway that answers
-// nothing any more is passed over for a while, and its counts begin anew at the next in the name's own order:
-// all gateways find the same one, once they have noticed.
+// A request is one datagram, and so is its reply; if either is lost, the request times out. A gateway that
+// stops answering is skipped for a while, and its counters restart from zero at the next gateway in the
+// name's rendezvous order. All gateways select the same one once they have noticed the failure.
 #pragma once
 
 #include <deque>
@@ -21,20 +22,20 @@
 class PeerCounter final : public proxy::CounterPort {
 public:
     static constexpr proxy::Duration kTimeout =
-        std::chrono::milliseconds(80);  // datagrams take some 20 ms a way
-    using Tell = std::function<void(int to, std::string_view)>;
+        std::chrono::milliseconds(80);  // datagrams take about 20 ms one way
+    using Send = std::function<void(int to, std::string_view)>;
     using Counted = std::function<void(const std::string& name, policy::CounterStatus, double total)>;
 
-    // Of `gateways`, this is number `self`.
-    PeerCounter(proxy::Timers& timers, int gateways, int self, Tell tell, Counted counted);
+    // `self` is this gateway's index among `gateways`.
+    PeerCounter(proxy::Timers& timers, int gateways, int self, Send send, Counted counted);
 
     void add(const std::string& name, double amount, proxy::Duration life) override;
-    // A datagram of another gateway's; what is none of ours is dropped.
+    // Handles a datagram from another gateway. Malformed or unexpected datagrams are dropped.
     void heard(int from, std::string_view datagram);
 
     std::size_t kept() const { return totals_.size(); }
-    static constexpr std::size_t kMaxKept = 32768;    // counts; beyond, calls are turned away
-    static constexpr std::size_t kMaxWaiting = 4096;  // calls without an answer; likewise
+    static constexpr std::size_t kMaxKept = 32768;    // counters; requests for further names are rejected
+    static constexpr std::size_t kMaxWaiting = 4096;  // requests without a reply; further ones are rejected
 
 private:
     struct Total {
@@ -43,29 +44,30 @@
     };
     struct Waiting {
         std::string name;
-        int home = 0;
+        int owner = 0;
     };
-    struct Home {
-        int missed = 0;  // calls in a row that found no answer
-        proxy::Timestamp passed_over_until{};
+    struct Owner {
+        int misses = 0;  // consecutive requests without a reply
+        proxy::Timestamp skipped_until{};
     };
 
-    int home_of(std::uint64_t name) const;
-    // Nothing: no room.
-    const double* total_of(std::uint64_t name, double amount, proxy::Duration life);
-    void end(std::uint32_t number, policy::CounterStatus status, double total);
-    void missed(std::uint32_t number);
+    int select_owner(std::uint64_t name) const;
+    // Adds to a counter stored here. Null: there is no room for a new counter.
+    const double* add_to_total(std::uint64_t name, double amount, proxy::Duration life);
+    void finish(std::uint32_t number, policy::CounterStatus status, double total);
+    void time_out(std::uint32_t number);
 
     proxy::Timers& timers_;
     int self_;
-    Tell tell_;
+    Send send_;
     Counted counted_;
-    std::vector<Home> homes_;
-    std::unordered_map<std::uint64_t, Total> totals_;  // kept here, by the hash of their name
-    proxy::Timestamp swept_{};
+    std::vector<Owner> owners_;
+    std::unordered_map<std::uint64_t, Total> totals_;  // counters stored here, by the hash of their name
+    proxy::Timestamp last_sweep_{};
     std::unordered_map<std::uint32_t, Waiting> waiting_;
-    std::unordered_map<std::string, std::deque<std::uint32_t>> order_;  // of the calls of a name
-    std::uint32_t numbers_ = 0;
+    std::unordered_map<std::string, std::deque<std::uint32_t>>
+        order_;  // request numbers of a name, oldest first
+    std::uint32_t last_number_ = 0;
 };
 
 }  // namespace linnetlead::net
--- a/src/proxy/ports.h
+++ b/src/proxy/ports.h
@@ -1,4 +1,5 @@
-// What the core needs of the world around it. It knows no protocol and no socket.
+// Interfaces between the request manager and its surroundings: downstream server, upstream pool, timers,
+// counter, accounting, routing and statements. None of them depends on a protocol or a socket.
 #pragma once
 
 #include <array>
@@ -17,19 +18,20 @@
 using policy::Timestamp;
 using EndpointId = policy::EndpointId;
 
-// The command as the front took it, for the endpoint side to send on. The core only carries it.
+// The command as the downstream server received it, for the upstream pool to forward. The request manager
+// does not read it.
 struct Payload {
     std::string bytes;
-    std::array<std::uint32_t, 3> marks{};  // for whoever reads the bytes
+    std::array<std::uint32_t, 3> marks{};  // offsets into `bytes`, for the protocol code
 };
 
-// One entry of the registry: what the module sees of an endpoint, and where it listens.
+// One entry of the endpoint list: the endpoint's description for the decision module, and its address.
 struct DiscoveredEndpoint {
     policy::EndpointInfo entry;
     std::string address;
 };
 
-// Where a front wants the final answer of a call.
+// Identifies the request to the downstream server that waits for its answer.
 struct Ticket {
     std::uint64_t place = 0;
     std::uint64_t number = 0;
@@ -39,23 +41,24 @@
 
 struct Answer {
     Verdict verdict = Verdict::kFailed;
-    std::string_view value;  // of a served call; valid only while it is handed over
-    Duration retry_after{};  // of a refused one; 0: no advice
-    bool passed = false;     // its long value was passed on in pieces: all of it if served, else cut short
+    std::string_view value;  // of a served request; valid only during the function call
+    Duration retry_after{};  // of a rejected request; 0: no advice
+    bool passed = false;     // its long value was streamed: completely if served, otherwise truncated
 };
 
-// A front hands calls to the core and gets exactly one answer for each that it has not withdrawn.
+// Receives the answers. Each request handed to the request manager gets exactly one answer unless it is
+// withdrawn.
 class DownstreamPort {
 public:
     virtual ~DownstreamPort() = default;
     virtual void answer(const Ticket& ticket, const Answer& answer) = 0;
-    // A long value begins, and comes in pieces; answer() follows. False: no more of it, until
-    // RequestManager::go_on().
+    // Streams a long value: begin_value(), then its pieces, then answer(). pass_value() returns false to
+    // pause the stream until RequestManager::go_on().
     virtual void begin_value(const Ticket& ticket, std::size_t size) = 0;
     virtual bool pass_value(const Ticket& ticket, std::string_view piece) = 0;
 };
 
-// The gateway's time is Unix time read once, carried on by the monotonic clock.
+// Clock and timers of the event loop. now() is the Unix time at start plus the monotonic time since then.
 class Timers {
 public:
     virtual ~Timers() = default;
@@ -64,113 +67,117 @@
     virtual void disarm(Handle timer) = 0;
 };
 
-// Where the registry's news goes.
+// Receives updates of the endpoint list from discovery.
 class EndpointListPort {
 public:
     virtual ~EndpointListPort() = default;
     virtual void listed(policy::EndpointListKind kind, const std::vector<DiscoveredEndpoint>& entries) = 0;
 };
 
+// Sends attempts and probes to endpoints.
 class UpstreamPort {
 public:
     virtual ~UpstreamPort() = default;
     struct Limits {
-        Timestamp until{};  // for the answer
+        Timestamp until{};  // deadline of the reply
         Timestamp write_by{
-            Timestamp::max()};  // for the call's last byte: past it, the endpoint may not see it any more
+            Timestamp::max()};  // deadline of the request's last byte: nothing is written after it
     };
-    // Ends in exactly one RequestManager::attempt_ended, also when given up. Returns the attempt's handle.
+    // Results in exactly one RequestManager::attempt_ended, also if cancelled. Returns the attempt's handle.
     virtual Handle start(Handle call, const EndpointId& endpoint, const Payload& payload,
                          const Limits& limits) = 0;
     virtual void give_up(Handle attempt) = 0;
-    // Nobody waits for the call any more: its attempt ends unless an endpoint may be at it, for nothing that
-    // has not left by now is to leave. So does one whose value is on its way to the client.
+    // The client no longer waits for the request. The attempt is cancelled unless an endpoint may already be
+    // processing it: what is not written yet must not be written. An attempt that streams its value to the
+    // client is cancelled too.
     virtual void client_gone(Handle attempt) = 0;
-    // Whether the attempt's last byte has not been written: no endpoint can have run it.
+    // Whether the attempt's last byte has not been written, so that no endpoint can have run it.
     virtual bool is_unsent(Handle attempt) = 0;
-    // The front takes more of the attempt's long value.
+    // Resumes the attempt's long value after a pause.
     virtual void go_on(Handle attempt) = 0;
     virtual void probe(const EndpointId& endpoint) = 0;
-    // The list as it is now. What is not on it, or drains, is sent nothing more.
+    // Updates the endpoint list; `whole`: `entries` is the complete list. An endpoint that is not listed or
+    // drains gets no further requests.
     virtual void told(const std::vector<DiscoveredEndpoint>& entries, bool whole) = 0;
 };
 
 class CounterPort {
 public:
     virtual ~CounterPort() = default;
-    // Ends in exactly one RequestManager::counted; calls of one name in their order.
+    // Results in exactly one RequestManager::counted. Results for one name keep the order of the requests.
     virtual void add(const std::string& name, double amount, Duration life) = 0;
 };
 
-// Which plan an account's calls are under, and what it has used. Where there is none, calls are under the
-// plan that they name.
+// Determines the plan of an account's requests and records the account's usage. Without this port, requests
+// use the plan that they name.
 class AccountingPort {
 public:
     virtual ~AccountingPort() = default;
-    // A call just taken: sets the plan that its account is under.
+    // A request was received: sets the plan of its account.
     virtual void taken(Timestamp now, Handle call, policy::Request& request) = 0;
-    // It has been routed: charges it to a balance where there is one, and sets the plan and the tenant that
-    // the module knows it by then.
+    // The request was routed: charges it to a balance if there is one, and then sets the plan and the tenant
+    // under which the decision module sees it.
     virtual void charge(Timestamp now, Handle call, policy::Request& request) = 0;
-    // Its first attempt is about to go out.
+    // The first attempt is about to be sent.
     virtual void sending(Handle call, double units) = 0;
-    // It was first sent on: the first of its attempts that reached an endpoint whole has ended.
+    // The first attempt that reached an endpoint completely has ended.
     virtual void sent_on(Timestamp now, Handle call, double units) = 0;
-    // Its first good answer told the true units.
+    // The first successful reply reported the actual units; `difference` is actual minus estimated.
     virtual void settled(Handle call, double difference) = 0;
-    // It is refused without having been sent anywhere.
+    // The request is rejected without any attempt.
     virtual void rejected(Timestamp now, Handle call) = 0;
-    // Nothing more comes of it.
+    // The request is finished; its handle is not used again.
     virtual void over(Handle call) = 0;
-    // Of a count whose name is its own; false: it is not.
+    // Handles a counter's result. False: the counter belongs to another component.
     virtual bool counted(Timestamp now, const std::string& name, policy::CounterStatus status,
                          double total) = 0;
 };
 
-// Which pools a call may go to, and what came of it. Where there is none, every call goes to all endpoints.
+// Selects the pools that a request may go to and observes the results. Without this port, every request may
+// go to all endpoints.
 class RoutingPort {
 public:
     virtual ~RoutingPort() = default;
-    // Plans that the decision module has from now on, numbered behind those that it had.
+    // Plans were added to the decision module; their numbers follow those of the existing plans.
     virtual void plans_added(const std::vector<policy::RatePlanSettings>& more) = 0;
-    // Sets the pools of a call just taken. Returns a mark that goes with it.
+    // Sets the pools of a received request. Returns a mark that sent() gets for the same request.
     virtual std::uint32_t route(Timestamp now, policy::Request& request) = 0;
     // Sets the pools of the list's entries.
     virtual void listed(Timestamp now, policy::EndpointListKind kind,
                         std::vector<policy::EndpointInfo>& entries) = 0;
-    // The first attempt of a call goes to an endpoint, and ends. Returns the mark that goes with its end.
+    // The first attempt of a request is sent to an endpoint, and later ends. Returns the mark for ended().
     virtual std::uint32_t sent(Timestamp now, std::uint32_t mark, int traffic_class,
                                const EndpointId& endpoint) = 0;
     virtual void ended(std::uint32_t mark, int traffic_class, double units, policy::Outcome outcome,
                        Duration latency) = 0;
-    // Any attempt has ended.
+    // An attempt has ended; called for every attempt.
     virtual void tried(Timestamp now, const EndpointId& endpoint, int traffic_class, double units,
                        policy::Outcome outcome, Duration latency) = 0;
-    // Of a count whose name is its own; false: it is not.
+    // Handles a counter's result. False: the counter belongs to another component.
     virtual bool counted(Timestamp now, const std::string& name, policy::CounterStatus status,
                          double total) = 0;
 };
 
-// Calls whose bodies name a form that endpoints have prepared. Where there is none, bodies are passed on as
-// they are.
+// Handles requests whose bodies name a prepared statement. Without this port, bodies are forwarded unchanged.
 class StatementPort {
 public:
     enum class Ruling {
-        kPass,  // no such call
-        kForm,  // sending() is asked where it may go
+        kPass,  // names no statement
+        kForm,  // sending() is called before each attempt
         kHold,  // RequestManager::release() or answer_held() follows
         kReject,
         kFail,
     };
     virtual ~StatementPort() = default;
-    // A call just taken, its pools set.
+    // A request was received and its pools are set.
     virtual Ruling taken(Timestamp now, Handle call, policy::Request& request, const Payload& payload) = 0;
-    // It is to go to an endpoint: what is sent there, or false where that cannot serve it now.
+    // An attempt is about to be sent: sets the payload for this endpoint. False: the endpoint cannot serve
+    // the request now.
     virtual bool sending(Timestamp now, Handle call, const EndpointId& endpoint, const Payload& payload,
                          Payload& changed) = 0;
-    // An endpoint's error answer: true where that says that it has not run the call.
+    // Handles an endpoint's error reply. True: the error says that the endpoint has not run the request.
     virtual bool moved_on(Timestamp now, Handle call, const EndpointId& endpoint, std::string_view error) = 0;
-    // Nothing more comes of it.
+    // The request is finished; its handle is not used again.
     virtual void over(Handle call) = 0;
 };
 
--- a/src/proxy/request_manager.cpp
+++ b/src/proxy/request_manager.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-// The last resort for a call that the module still holds: an answer on its way just in time.
-constexpr Duration kOverdueAfter = 6ms;
-// Of the window in which endpoints know a repeat by its key, what is left for its way to them.
-constexpr int kDeliveryPart = 20;  // a twentieth of the key window is left for the bytes' way to the endpoint
+// Fallback for a request that the module has not answered: the answer is sent this long after the deadline,
+// and still reaches the client in time.
+constexpr Duration kOverdueDelay = 6ms;
+// 1/20 of the window in which endpoints recognize a repeated key is left for the transfer to the endpoint.
+constexpr int kDeliveryPart = 20;
 
 }  // namespace
 
@@ -27,8 +28,8 @@
       classes_(site.settings.classes),
       max_attempts_(site.settings.max_attempts),
       max_units_(site.settings.max_units),
-      crowd_(limits.accounts),
-      come_back_(site.settings.retry_after ? site.settings.max_retry_after : Duration{0}),
+      new_tenant_limiter_(limits.accounts),
+      limiter_retry_after_(site.settings.retry_after ? site.settings.max_retry_after : Duration{0}),
       policy_(new policy::Policy(site.settings, seed, timers.now(), *this)) {
     counts_.classes.resize(classes_.size());
     for (const policy::RatePlanSettings& plan : site.settings.plans) plan_names_.push_back(plan.name);
@@ -40,28 +41,28 @@
     counter_ = &counter;
 }
 
-// An action may end in another event at once (no such endpoint, no socket left). The module is not entered
-// again from within: such events wait until it has returned.
+// An action can cause another event at once (unknown endpoint, no socket left). The module is not reentered:
+// such events are deferred until it has returned.
 template <typename Event>
-void RequestManager::tell(Event event) {
-    if (telling_) {
-        later_.emplace_back(std::move(event));
+void RequestManager::dispatch(Event event) {
+    if (dispatching_) {
+        deferred_events_.emplace_back(std::move(event));
         return;
     }
-    telling_ = true;
-    guarded(event);
-    while (!later_.empty()) {
-        const auto next = std::move(later_.front());
-        later_.pop_front();
-        guarded(next);
+    dispatching_ = true;
+    run_guarded(event);
+    while (!deferred_events_.empty()) {
+        const auto next = std::move(deferred_events_.front());
+        deferred_events_.pop_front();
+        run_guarded(next);
     }
-    telling_ = false;
+    dispatching_ = false;
 }
 
-// An exception of the module's costs the event in hand, not the gateway. A call that it leaves without an
-// answer gets one in overdue().
+// An exception thrown by the module loses the current event only. A request that stays unanswered because of
+// it is answered by fail_overdue().
 template <typename Event>
-void RequestManager::guarded(const Event& event) {
+void RequestManager::run_guarded(const Event& event) {
     try {
         event();
     } catch (const std::exception& e) {
@@ -69,50 +70,53 @@
     }
 }
 
-// ---- From the fronts ------------------------------------------------------------------------------------
+// ---- From the downstream server
+// ------------------------------------------------------------------------------------
 
-Handle RequestManager::take(DownstreamRequest call, DownstreamPort& front, Ticket ticket) {
-    const std::size_t size = call.payload.bytes.size();
-    const int traffic_class = call.request.traffic_class;
-    if (calls_.size() >= limits_.calls || bytes_ + size > limits_.bytes) {
-        count_end(traffic_class, Verdict::kRejected);
-        front.answer(ticket, {Verdict::kRejected, {}, {}, false});
+Handle RequestManager::take(DownstreamRequest incoming, DownstreamPort& downstream, Ticket ticket) {
+    const std::size_t size = incoming.payload.bytes.size();
+    const int traffic_class = incoming.request.traffic_class;
+    if (requests_.size() >= limits_.calls || bytes_ + size > limits_.bytes) {
+        count_answer(traffic_class, Verdict::kRejected);
+        downstream.answer(ticket, {Verdict::kRejected, {}, {}, false});
         return {};
     }
-    // Guards the open call: endpoints would take the two for one.
-    if (!names_.insert(call.name).second) {
-        count_end(traffic_class, Verdict::kFailed);
-        front.answer(ticket, {Verdict::kFailed, {}, {}, false});
+    // Endpoints could not distinguish two open requests with the same id.
+    if (!client_ids_.insert(incoming.name).second) {
+        count_answer(traffic_class, Verdict::kFailed);
+        downstream.answer(ticket, {Verdict::kFailed, {}, {}, false});
         return {};
     }
-    if (!crowd_.passes(timers_.now(), call.request.tenant)) {
-        names_.erase(call.name);
-        count_end(traffic_class, Verdict::kRejected);
-        front.answer(ticket, {Verdict::kRejected, {}, come_back_, false});
+    if (!new_tenant_limiter_.passes(timers_.now(), incoming.request.tenant)) {
+        client_ids_.erase(incoming.name);
+        count_answer(traffic_class, Verdict::kRejected);
+        downstream.answer(ticket, {Verdict::kRejected, {}, limiter_retry_after_, false});
         return {};
     }
-    const Handle handle = calls_.add();
-    Open& open = *calls_.find(handle);
-    open.front = &front;
+    const Handle handle = requests_.add();
+    OpenRequest& open = *requests_.find(handle);
+    open.downstream = &downstream;
     open.ticket = ticket;
-    open.name = call.name;
-    open.payload = std::move(call.payload);
-    open.due = call.request.due;
-    open.traffic_class = call.request.traffic_class;
-    open.units = static_cast<float>(call.request.units);
-    if (accounts_) accounts_->taken(timers_.now(), handle, call.request);
-    if (routes_) open.mark = routes_->route(timers_.now(), call.request);
-    if (accounts_) accounts_->charge(timers_.now(), handle, call.request);
-    open.deadline = timers_.arm(open.due + kOverdueAfter, [this, handle] { overdue(handle); });
+    open.name = incoming.name;
+    open.payload = std::move(incoming.payload);
+    open.due = incoming.request.due;
+    open.traffic_class = incoming.request.traffic_class;
+    open.units = static_cast<float>(incoming.request.units);
+    if (accounts_) accounts_->taken(timers_.now(), handle, incoming.request);
+    if (routes_) open.mark = routes_->route(timers_.now(), incoming.request);
+    if (accounts_) accounts_->charge(timers_.now(), handle, incoming.request);
+    open.deadline = timers_.arm(open.due + kOverdueDelay, [this, handle] { fail_overdue(handle); });
     bytes_ += size;
     ++counts_.in_progress;
-    // The handle serves as the module's id: a client's may come again once its call is over.
-    call.request.id = handle.packed();
-    if (forms_) {
-        const StatementPort::Ruling ruling = forms_->taken(timers_.now(), handle, call.request, open.payload);
-        open.form = ruling != StatementPort::Ruling::kPass;
+    // The handle serves as the module's request id, because a client may reuse its own id once it is
+    // answered.
+    incoming.request.id = handle.packed();
+    if (statements_) {
+        const StatementPort::Ruling ruling =
+            statements_->taken(timers_.now(), handle, incoming.request, open.payload);
+        open.has_statement = ruling != StatementPort::Ruling::kPass;
         if (ruling == StatementPort::Ruling::kHold) {
-            open.held = std::make_unique<policy::Request>(std::move(call.request));
+            open.held = std::make_unique<policy::Request>(std::move(incoming.request));
             return handle;
         }
         if (ruling == StatementPort::Ruling::kReject || ruling == StatementPort::Ruling::kFail) {
@@ -126,202 +130,204 @@
             return {};
         }
     }
-    tell([this, request = std::move(call.request)] { policy_->on_request(timers_.now(), request); });
-    return calls_.find(handle) ? handle : Handle{};
+    dispatch([this, request = std::move(incoming.request)] { policy_->on_request(timers_.now(), request); });
+    return requests_.find(handle) ? handle : Handle{};
 }
 
 void RequestManager::release(Handle handle) {
-    Open* call = calls_.find(handle);
-    if (!call || call->answered || !call->held) return;
-    const auto request = std::move(call->held);
-    tell([this, request = std::move(*request)] { policy_->on_request(timers_.now(), request); });
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered || !open->held) return;
+    const auto request = std::move(open->held);
+    dispatch([this, request = std::move(*request)] { policy_->on_request(timers_.now(), request); });
 }
 
 void RequestManager::answer_held(Handle handle, const Answer& answer) {
-    Open* call = calls_.find(handle);
-    if (!call || !call->held) return;
+    OpenRequest* open = requests_.find(handle);
+    if (!open || !open->held) return;
     if (accounts_ && answer.verdict == Verdict::kRejected) accounts_->rejected(timers_.now(), handle);
-    conclude(handle, *call, answer);
+    conclude(handle, *open, answer);
 }
 
 void RequestManager::withdraw(Handle handle) {
-    Open* call = calls_.find(handle);
-    if (!call || call->answered) return;
-    const Handle attempt = call->attempt;
-    settle(handle, *call);
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered) return;
+    const Handle attempt = open->attempt;
+    mark_answered(handle, *open);
     abandon(handle, attempt);
 }
 
-// Behind a call's answer, whose client has gone: a connection that comes up later would still carry it.
+// Cancels the attempt of an answered request: it could still be sent on a connection that comes up later.
 void RequestManager::abandon(Handle handle, Handle attempt) {
     if (attempt) endpoints_->client_gone(attempt);
-    tell([this, handle] { policy_->on_withdrawn(timers_.now(), handle.packed()); });
+    dispatch([this, handle] { policy_->on_withdrawn(timers_.now(), handle.packed()); });
 }
 
 void RequestManager::answer_all() {
-    std::vector<Handle> open;
-    calls_.for_each([&open](Handle handle, const Open& call) {
-        if (!call.answered && !call.passing) open.push_back(handle);
+    std::vector<Handle> unanswered;
+    requests_.for_each([&unanswered](Handle handle, const OpenRequest& open) {
+        if (!open.answered && !open.streaming) unanswered.push_back(handle);
     });
-    for (const Handle handle : open) {
-        Open* call = calls_.find(handle);
-        if (!call || call->answered) continue;
-        const Handle attempt = call->attempt;
-        // abandon() below keeps an attempt that has not been written from ever being so.
-        const bool may_run = call->out && !endpoints_->is_unsent(attempt);
-        const Verdict verdict = !may_run && is_harmless(*call) ? Verdict::kRejected : Verdict::kFailed;
-        conclude(handle, *call, {verdict, {}, {}, false});
+    for (const Handle handle : unanswered) {
+        OpenRequest* open = requests_.find(handle);
+        if (!open || open->answered) continue;
+        const Handle attempt = open->attempt;
+        // abandon() below makes sure that an attempt not written yet is never written.
+        const bool may_run = open->attempt_pending && !endpoints_->is_unsent(attempt);
+        const Verdict verdict = !may_run && is_harmless(*open) ? Verdict::kRejected : Verdict::kFailed;
+        conclude(handle, *open, {verdict, {}, {}, false});
         abandon(handle, attempt);
     }
 }
 
-// The module answers before the deadline: attempts are cut to it. Should it not, the client still hears.
-void RequestManager::overdue(Handle handle) {
-    Open* call = calls_.find(handle);
-    if (!call || call->answered) return;
-    const Handle attempt = call->attempt;
-    conclude(handle, *call, {Verdict::kFailed, {}, {}, false});
+// Attempts are limited to the deadline, so the module answers before it. If it does not, the client still
+// gets an answer here.
+void RequestManager::fail_overdue(Handle handle) {
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered) return;
+    const Handle attempt = open->attempt;
+    conclude(handle, *open, {Verdict::kFailed, {}, {}, false});
     abandon(handle, attempt);
 }
 
-void RequestManager::conclude(Handle handle, Open& call, const Answer& answer) {
-    if (call.answered) return;
-    DownstreamPort* const front = call.front;
-    const Ticket ticket = call.ticket;
-    count_end(call.traffic_class, answer.verdict);
-    settle(handle, call);
-    front->answer(ticket, answer);
+void RequestManager::conclude(Handle handle, OpenRequest& open, const Answer& answer) {
+    if (open.answered) return;
+    DownstreamPort* const downstream = open.downstream;
+    const Ticket ticket = open.ticket;
+    count_answer(open.traffic_class, answer.verdict);
+    mark_answered(handle, open);
+    downstream->answer(ticket, answer);
 }
 
-void RequestManager::count_end(int traffic_class, Verdict verdict) {
+void RequestManager::count_answer(int traffic_class, Verdict verdict) {
     Counts::OfClass& of = counts_.classes[static_cast<std::size_t>(traffic_class)];
     ++(verdict == Verdict::kServed ? of.served : verdict == Verdict::kRejected ? of.rejected : of.failed);
 }
 
 std::size_t RequestManager::left_out() const { return policy_->ejected_count(timers_.now()); }
 
-// Nothing more is owed to the client.
-void RequestManager::settle(Handle handle, Open& call) {
-    call.answered = true;
+// Marks the request as answered and removes it if no attempt is pending.
+void RequestManager::mark_answered(Handle handle, OpenRequest& open) {
+    open.answered = true;
     --counts_.in_progress;
-    timers_.disarm(std::exchange(call.deadline, {}));
+    timers_.disarm(std::exchange(open.deadline, {}));
     drop_if_done(handle);
 }
 
-// A request counts once, when its first attempt has reached an endpoint whole, whatever the endpoint made of
-// it.
-void RequestManager::note_use(Handle handle, Open& call, const AttemptEnd& end,
-                              const policy::AttemptResult& result) {
-    const double units = call.units;
-    if (end.stage >= Stage::kWritten && !std::exchange(call.sent_on, true)) {
+// A request is counted once, when its first attempt has reached an endpoint completely, whatever the result.
+void RequestManager::record_usage(Handle handle, OpenRequest& open, const AttemptEnd& end,
+                                  const policy::AttemptResult& result) {
+    const double units = open.units;
+    if (end.stage >= Stage::kWritten && !std::exchange(open.sent_on, true)) {
         accounts_->sent_on(timers_.now(), handle, units);
     }
-    const bool told = end.ending == Ending::kServed && result.actual_units > 0;
-    if (told && result.actual_units != units) accounts_->settled(handle, result.actual_units - units);
+    const bool has_actual_units = end.ending == Ending::kServed && result.actual_units > 0;
+    if (has_actual_units && result.actual_units != units)
+        accounts_->settled(handle, result.actual_units - units);
 }
 
 void RequestManager::add_plans(std::vector<policy::RatePlanSettings> more) {
     for (const policy::RatePlanSettings& plan : more) plan_names_.push_back(plan.name);
     if (routes_) routes_->plans_added(more);
-    tell([this, more = std::move(more)] { policy_->on_plans_added(timers_.now(), more); });
+    dispatch([this, more = std::move(more)] { policy_->on_plans_added(timers_.now(), more); });
 }
 
 void RequestManager::drop_if_done(Handle handle) {
-    const Open* call = calls_.find(handle);
-    if (!call || !call->answered || call->out) return;
+    const OpenRequest* open = requests_.find(handle);
+    if (!open || !open->answered || open->attempt_pending) return;
     if (accounts_) accounts_->over(handle);
-    if (forms_ && call->form) forms_->over(handle);
-    bytes_ -= call->payload.bytes.size() + call->changed.bytes.size();
-    names_.erase(call->name);
-    calls_.remove(handle);
+    if (statements_ && open->has_statement) statements_->over(handle);
+    bytes_ -= open->payload.bytes.size() + open->changed.bytes.size();
+    client_ids_.erase(open->name);
+    requests_.remove(handle);
 }
 
-// ---- From endpoints, counter and registry -----------------------------------------------------------------
+// ---- From the upstream pool, the counter and discovery
+// -----------------------------------------------------------------
 
 bool RequestManager::reserve(std::size_t bytes) {
-    if (calls_.size() >= limits_.calls || bytes_ + bytes > limits_.bytes) return false;
+    if (requests_.size() >= limits_.calls || bytes_ + bytes > limits_.bytes) return false;
     bytes_ += bytes;
     return true;
 }
 
-void RequestManager::take_over(const policy::QuotaState& told) {
-    tell([this, told] { policy_->restore_quota(timers_.now(), told); });
+void RequestManager::take_over(const policy::QuotaState& state) {
+    dispatch([this, state] { policy_->restore_quota(timers_.now(), state); });
 }
 
 void RequestManager::go_on(Handle handle) {
-    const Open* call = calls_.find(handle);
-    if (call && call->out && call->passing) endpoints_->go_on(call->attempt);
+    const OpenRequest* open = requests_.find(handle);
+    if (open && open->attempt_pending && open->streaming) endpoints_->go_on(open->attempt);
 }
 
-// First bytes in time are an answer in time: the deadline has nothing more to say.
+// A value whose first bytes arrive in time counts as answered in time: the deadline no longer applies.
 RequestManager::Wanted RequestManager::value_begins(Handle handle, std::size_t size) {
-    Open* call = calls_.find(handle);
-    if (!call || call->answered) return Wanted::kNothing;
-    call->passing = true;
-    call->first_bytes = timers_.now();
-    timers_.disarm(std::exchange(call->deadline, {}));
-    call->front->begin_value(call->ticket, size);
-    tell([this, handle, attempt = call->attempts - 1] {
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered) return Wanted::kNothing;
+    open->streaming = true;
+    open->first_bytes = timers_.now();
+    timers_.disarm(std::exchange(open->deadline, {}));
+    open->downstream->begin_value(open->ticket, size);
+    dispatch([this, handle, attempt = open->attempts - 1] {
         policy_->on_stream_started(timers_.now(), handle.packed(), attempt);
     });
     return Wanted::kMore;
 }
 
 RequestManager::Wanted RequestManager::value_piece(Handle handle, std::string_view piece) {
-    Open* call = calls_.find(handle);
-    if (!call || call->answered) return Wanted::kNothing;
-    return call->front->pass_value(call->ticket, piece) ? Wanted::kMore : Wanted::kPause;
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered) return Wanted::kNothing;
+    return open->downstream->pass_value(open->ticket, piece) ? Wanted::kMore : Wanted::kPause;
 }
 
 void RequestManager::value_ends(Handle handle) {
-    Open* call = calls_.find(handle);
-    if (call) conclude(handle, *call, {Verdict::kServed, {}, {}, true});
+    OpenRequest* open = requests_.find(handle);
+    if (open) conclude(handle, *open, {Verdict::kServed, {}, {}, true});
 }
 
-void RequestManager::attempt_ended(Handle handle, const AttemptEnd& told) {
-    Open* call = calls_.find(handle);
-    if (!call || !call->out) return;
+void RequestManager::attempt_ended(Handle handle, const AttemptEnd& reported) {
+    OpenRequest* open = requests_.find(handle);
+    if (!open || !open->attempt_pending) return;
     const Timestamp now = timers_.now();
-    AttemptEnd end = told;
-    // An endpoint that has moved on from a form says so, and has not run the call.
-    const bool moved_on = call->form && forms_ && end.ending == Ending::kError &&
-                          forms_->moved_on(now, handle, call->endpoint, end.error);
+    AttemptEnd end = reported;
+    // The endpoint reports that it no longer has the statement; it has not run the request.
+    const bool moved_on = open->has_statement && statements_ && end.ending == Ending::kError &&
+                          statements_->moved_on(now, handle, open->endpoint, end.error);
     if (moved_on) end = {Stage::kUnconnected, Ending::kGivenUp, {}, 0, {}, {}};
     policy::AttemptResult result;
     result.id = handle.packed();
-    result.attempt = call->attempts - 1;
-    result.endpoint = call->endpoint;
+    result.attempt = open->attempts - 1;
+    result.endpoint = open->endpoint;
     result.outcome = outcome_of(end);
-    result.latency = (call->passing ? call->first_bytes : now) - call->sent;
-    // Guards the quotas against a cost that cannot be.
+    result.latency = (open->streaming ? open->first_bytes : now) - open->sent;
+    // Protects the quotas from an impossible cost.
     result.actual_units = end.actual_units <= max_units_ ? end.actual_units : 0;
     result.report = end.report;
-    call->out = false;
-    if (routes_ && call->attempts == 1) {
-        routes_->ended(call->mark, call->traffic_class, call->units, result.outcome, result.latency);
+    open->attempt_pending = false;
+    if (routes_ && open->attempts == 1) {
+        routes_->ended(open->mark, open->traffic_class, open->units, result.outcome, result.latency);
     }
     if (routes_)
-        routes_->tried(now, call->endpoint, call->traffic_class, call->units, result.outcome, result.latency);
-    if (accounts_) note_use(handle, *call, end, result);
-    call->attempt = {};
-    if (!proves_not_run(result.outcome) && !std::exchange(call->may_have_run, true)) {
-        call->run_from = call->sent;
+        routes_->tried(now, open->endpoint, open->traffic_class, open->units, result.outcome, result.latency);
+    if (accounts_) record_usage(handle, *open, end, result);
+    open->attempt = {};
+    if (!proves_not_run(result.outcome) && !std::exchange(open->may_have_run, true)) {
+        open->first_run_at = open->sent;
     }
-    // Of a value that was cut short, its client has had a part: no other answer, and no other attempt.
-    const bool cut = call->passing && !call->answered;
-    result.concluded = call->answered || cut || end.ending == Ending::kServed;
-    if (cut) {
-        conclude(handle, *call, {Verdict::kFailed, {}, {}, true});
-    } else if (end.ending == Ending::kServed && !call->answered) {
-        conclude(handle, *call, {Verdict::kServed, end.value, {}, false});
+    // The client has received a part of a truncated value: no other answer and no retry is possible.
+    const bool truncated = open->streaming && !open->answered;
+    result.concluded = open->answered || truncated || end.ending == Ending::kServed;
+    if (truncated) {
+        conclude(handle, *open, {Verdict::kFailed, {}, {}, true});
+    } else if (end.ending == Ending::kServed && !open->answered) {
+        conclude(handle, *open, {Verdict::kServed, end.value, {}, false});
     } else {
         drop_if_done(handle);
     }
-    tell([this, result = std::move(result)] { policy_->on_result(timers_.now(), result); });
+    dispatch([this, result = std::move(result)] { policy_->on_result(timers_.now(), result); });
 }
 
 void RequestManager::probed(const EndpointId& endpoint, Outcome outcome, const policy::LoadReport& report) {
-    tell([this, endpoint, outcome, report] {
+    dispatch([this, endpoint, outcome, report] {
         policy_->on_probe_result(timers_.now(), endpoint, outcome, report);
     });
 }
@@ -329,7 +335,7 @@
 void RequestManager::counted(const std::string& name, policy::CounterStatus status, double total) {
     if (routes_ && routes_->counted(timers_.now(), name, status, total)) return;
     if (accounts_ && accounts_->counted(timers_.now(), name, status, total)) return;
-    tell([this, name, status, total] { policy_->on_counter_reply(timers_.now(), name, status, total); });
+    dispatch([this, name, status, total] { policy_->on_counter_reply(timers_.now(), name, status, total); });
 }
 
 void RequestManager::listed(policy::EndpointListKind kind, const std::vector<DiscoveredEndpoint>& entries) {
@@ -337,93 +343,96 @@
     known.reserve(entries.size());
     for (const DiscoveredEndpoint& one : entries) known.push_back(one.entry);
     if (routes_) routes_->listed(timers_.now(), kind, known);
-    // The endpoints' side hears before anything that the module does upon it.
-    tell([this, kind, known = std::move(known), entries] {
+    // The upstream pool gets the list before the module acts on it.
+    dispatch([this, kind, known = std::move(known), entries] {
         endpoints_->told(entries, kind != policy::EndpointListKind::kChanges);
         policy_->on_endpoint_list(timers_.now(), kind, known);
     });
 }
 
 void RequestManager::marked(std::vector<policy::EndpointInfo> entries) {
-    tell([this, entries = std::move(entries)] {
+    dispatch([this, entries = std::move(entries)] {
         policy_->on_endpoint_list(timers_.now(), policy::EndpointListKind::kChanges, entries);
     });
 }
 
 // ---- The module's actions -------------------------------------------------------------------------------
 
-// The rules are the module's to keep. What it asks for against them is not carried out.
+// The module is responsible for following the rules; an action that violates them is not carried out.
 void RequestManager::send(RequestId id, const EndpointId& endpoint, Duration timeout) {
     const Handle handle = Handle::unpacked(id);
-    Open* call = calls_.find(handle);
-    if (!call || call->answered || call->out) return;
+    OpenRequest* open = requests_.find(handle);
+    if (!open || open->answered || open->attempt_pending) return;
     const Timestamp now = timers_.now();
-    ++call->attempts;
-    call->out = true;
-    call->sent = now;
-    call->endpoint = endpoint;
-    if (accounts_ && call->attempts == 1) accounts_->sending(handle, call->units);
-    if (routes_ && call->attempts == 1)
-        call->mark = routes_->sent(now, call->mark, call->traffic_class, endpoint);
-    const bool again =
-        call->may_have_run &&
-        classes_[static_cast<std::size_t>(call->traffic_class)].idempotency == Idempotency::kNonIdempotent;
-    if (again || call->attempts > max_attempts_ || now >= call->due) {
+    ++open->attempts;
+    open->attempt_pending = true;
+    open->sent = now;
+    open->endpoint = endpoint;
+    if (accounts_ && open->attempts == 1) accounts_->sending(handle, open->units);
+    if (routes_ && open->attempts == 1)
+        open->mark = routes_->sent(now, open->mark, open->traffic_class, endpoint);
+    const bool is_unsafe_retry =
+        open->may_have_run &&
+        classes_[static_cast<std::size_t>(open->traffic_class)].idempotency == Idempotency::kNonIdempotent;
+    if (is_unsafe_retry || open->attempts > max_attempts_ || now >= open->due) {
         attempt_ended(handle, {Stage::kUnconnected, Ending::kGivenUp, {}, 0, {}, {}});
         return;
     }
-    const Timestamp until = timeout > Duration{0} ? std::min(now + timeout, call->due) : call->due;
-    if (call->form) {
-        bytes_ -= call->changed.bytes.size();
-        call->changed = {};
-        const bool goes = !forms_ || forms_->sending(now, handle, endpoint, call->payload, call->changed);
-        bytes_ += call->changed.bytes.size();
+    const Timestamp until = timeout > Duration{0} ? std::min(now + timeout, open->due) : open->due;
+    if (open->has_statement) {
+        bytes_ -= open->changed.bytes.size();
+        open->changed = {};
+        const bool goes =
+            !statements_ || statements_->sending(now, handle, endpoint, open->payload, open->changed);
+        bytes_ += open->changed.bytes.size();
         if (!goes) {
             attempt_ended(handle, {Stage::kUnconnected, Ending::kGivenUp, {}, 0, {}, {}});
             return;
         }
     }
-    const Payload& payload = call->changed.bytes.empty() ? call->payload : call->changed;
-    const Handle attempt = endpoints_->start(handle, endpoint, payload, {until, write_by(*call)});
-    if (call->out) call->attempt = attempt;
+    const Payload& payload = open->changed.bytes.empty() ? open->payload : open->changed;
+    const Handle attempt = endpoints_->start(handle, endpoint, payload, {until, write_by(*open)});
+    if (open->attempt_pending) open->attempt = attempt;
 }
 
 void RequestManager::reject(RequestId id, Duration retry_after) {
     const Handle handle = Handle::unpacked(id);
-    Open* call = calls_.find(handle);
-    if (!call) return;
-    if (accounts_ && call->attempts == 0) accounts_->rejected(timers_.now(), handle);
-    conclude(handle, *call,
-             {is_harmless(*call) ? Verdict::kRejected : Verdict::kFailed, {}, retry_after, false});
+    OpenRequest* open = requests_.find(handle);
+    if (!open) return;
+    if (accounts_ && open->attempts == 0) accounts_->rejected(timers_.now(), handle);
+    conclude(handle, *open,
+             {is_harmless(*open) ? Verdict::kRejected : Verdict::kFailed, {}, retry_after, false});
 }
 
-// Whether a rejection, which invites the client to come again, does no harm.
-bool RequestManager::is_harmless(const Open& call) const {
+// Whether the request may be rejected: a client may repeat a rejected request, so a repeat has to be
+// harmless.
+bool RequestManager::is_harmless(const OpenRequest& open) const {
     const policy::TrafficClassSettings& traffic_class =
-        classes_[static_cast<std::size_t>(call.traffic_class)];
-    return !call.may_have_run || traffic_class.idempotency == Idempotency::kIdempotent ||
+        classes_[static_cast<std::size_t>(open.traffic_class)];
+    return !open.may_have_run || traffic_class.idempotency == Idempotency::kIdempotent ||
            (traffic_class.idempotency == Idempotency::kKeyed &&
             traffic_class.key_scope == policy::KeyScope::kAll);
 }
 
-// Between the choice of an endpoint and the last byte lie a connection that comes up late and a long body:
-// what is chosen within the window may leave outside it.
-Timestamp RequestManager::write_by(const Open& call) const {
+// A slow connect or a long body can delay the last byte, so that an attempt that started within the key
+// window would be written after it.
+Timestamp RequestManager::write_by(const OpenRequest& open) const {
     const policy::TrafficClassSettings& traffic_class =
-        classes_[static_cast<std::size_t>(call.traffic_class)];
-    if (traffic_class.idempotency != Idempotency::kKeyed || !call.may_have_run) return Timestamp::max();
-    return call.run_from + traffic_class.key_window - traffic_class.key_window / kDeliveryPart;
+        classes_[static_cast<std::size_t>(open.traffic_class)];
+    if (traffic_class.idempotency != Idempotency::kKeyed || !open.may_have_run) return Timestamp::max();
+    return open.first_run_at + traffic_class.key_window - traffic_class.key_window / kDeliveryPart;
 }
 
 void RequestManager::fail(RequestId id) {
     const Handle handle = Handle::unpacked(id);
-    if (Open* call = calls_.find(handle)) conclude(handle, *call, {Verdict::kFailed, {}, {}, false});
+    if (OpenRequest* open = requests_.find(handle))
+        conclude(handle, *open, {Verdict::kFailed, {}, {}, false});
 }
 
 void RequestManager::cancel(RequestId id, int attempt) {
-    const Open* call = calls_.find(Handle::unpacked(id));
-    if (call && call->out && !call->passing && attempt == call->attempts - 1)
-        endpoints_->give_up(call->attempt);
+    const OpenRequest* open = requests_.find(Handle::unpacked(id));
+    if (open && open->attempt_pending && !open->streaming && attempt == open->attempts - 1)
+        endpoints_->give_up(open->attempt);
 }
 
 void RequestManager::probe(const EndpointId& endpoint) { endpoints_->probe(endpoint); }
@@ -432,14 +441,14 @@
     counter_->add(name, amount, life);
 }
 
-// One timer, for the earliest wake-up asked for: the module asks again after each.
+// There is one timer, for the earliest requested wake-up: the module requests another one after each.
 void RequestManager::wake(Timestamp at) {
     if (wake_ && at >= wake_at_) return;
     timers_.disarm(wake_);
     wake_at_ = at;
     wake_ = timers_.arm(at, [this] {
         wake_ = {};
-        tell([this] { policy_->on_wake(timers_.now()); });
+        dispatch([this] { policy_->on_wake(timers_.now()); });
     });
 }
 
--- a/src/proxy/request_manager.h
+++ b/src/proxy/request_manager.h
@@ -1,5 +1,5 @@
-// The gateway between its fronts and the decision module: the table of calls, the module's actions, the
-// rules.
+// The request manager connects the downstream server, the upstream pool and the decision module. It owns the
+// table of open requests, carries out the module's actions and enforces the rules on attempts.
 #pragma once
 
 #include <deque>
@@ -13,107 +13,110 @@
 
 namespace linnetlead::proxy {
 
-// What a front hands over.
+// A request as the downstream server hands it over.
 struct DownstreamRequest {
-    policy::Request request;  // its id is the core's to give
-    std::uint64_t name = 0;   // the client's own id
+    policy::Request request;  // the request manager assigns its id
+    std::uint64_t name = 0;   // the id that the client gave
     Payload payload;
 };
 
-// Since the start.
+// Numbers of answers since the start.
 struct Counts {
     struct OfClass {
         std::uint64_t served = 0, rejected = 0, failed = 0;
     };
     std::vector<OfClass> classes;
-    std::size_t in_progress = 0;  // calls taken and not ended
+    std::size_t in_progress = 0;  // requests taken and not answered
 };
 
 class RequestManager final : public EndpointListPort, private policy::Actions {
 public:
     struct Limits {
-        std::size_t calls = 0;     // open at once
+        std::size_t calls = 0;     // concurrently open requests
         std::size_t bytes = 0;     // of their payloads
-        std::size_t accounts = 0;  // of late; 0: no bound
+        std::size_t accounts = 0;  // recently seen; 0: no bound
     };
 
     RequestManager(const config::Site& site, std::uint64_t seed, Limits limits, Timers& timers);
     ~RequestManager() override;
     // Both must be set before the first event.
     void attach(UpstreamPort& endpoints, CounterPort& counter);
-    // Nothing: every call goes to all endpoints.
+    // Null: every request may go to all endpoints.
     void attach(RoutingPort* routes) { routes_ = routes; }
-    // Nothing: calls are under the plan that they name.
+    // Null: requests use the plan that they name.
     void attach(AccountingPort* accounts) { accounts_ = accounts; }
-    // Nothing: no body names a form.
-    void attach(StatementPort* forms) { forms_ = forms; }
-    // A call that the forms have held: the module decides now, or it has its answer.
-    void release(Handle call);
-    void answer_held(Handle call, const Answer& answer);
-    // Plans that the settings do not have, behind those that there are.
+    // Null: no body names a prepared statement.
+    void attach(StatementPort* statements) { statements_ = statements; }
+    // For a request that the statement port holds: release() passes it to the decision module, answer_held()
+    // answers it.
+    void release(Handle request);
+    void answer_held(Handle request, const Answer& answer);
+    // Appends plans that are not in the settings.
     void add_plans(std::vector<policy::RatePlanSettings> more);
-    // Of all plans, by number. Two may have one name; the later one holds.
+    // Names of all plans, by number. If two have the same name, the later one applies.
     const std::vector<std::string>& plan_names() const { return plan_names_; }
 
-    // From the fronts. The answer may come before take() returns; a null handle says that it has. A second
-    // call under an open one's name fails.
-    Handle take(DownstreamRequest call, DownstreamPort& front, Ticket ticket);
-    void withdraw(Handle call);
-    // The gateway ends: what is open gets its answer now, but for values that are on their way to clients.
+    // ---- For the downstream server.
+    // Takes a request. The answer may arrive before take() returns; the handle is then null. A request fails
+    // if another one with the same client id is open.
+    Handle take(DownstreamRequest incoming, DownstreamPort& downstream, Ticket ticket);
+    // The client no longer waits for the request.
+    void withdraw(Handle request);
+    // The gateway shuts down: answers all open requests now, except those whose values are being streamed.
     void answer_all();
     void limit(Limits limits) { limits_ = limits; }
-    // Room for a body that is still to come, by its length: to be given back, before take() at the latest.
+    // Reserves memory for a body that is still to arrive. It has to be given back before take().
     bool reserve(std::size_t bytes);
     void give_back(std::size_t bytes) { bytes_ -= bytes; }
-    // A call whose body found no room: rejected by the downstream server itself.
-    void turned_away(int traffic_class) { count_end(traffic_class, Verdict::kRejected); }
-    // The front takes more of a long value.
-    void go_on(Handle call);
-    std::size_t open_calls() const { return calls_.size(); }
-    const proxy::NewTenantLimiter& crowd() const { return crowd_; }
-    // What quotas need in another process of this gateway; once it is told, this one knows it no more.
+    // Counts a request that the downstream server itself rejected, for lack of memory or because it drains.
+    void turned_away(int traffic_class) { count_answer(traffic_class, Verdict::kRejected); }
+    // The client can take more of a long value.
+    void go_on(Handle request);
+    std::size_t open_calls() const { return requests_.size(); }
+    const proxy::NewTenantLimiter& crowd() const { return new_tenant_limiter_; }
+    // Quota states for the gateway process that takes over; handed_over() then drops them here.
     std::vector<policy::QuotaState> accounts() const { return policy_->quota_states(); }
-    void take_over(const policy::QuotaState& told);
+    void take_over(const policy::QuotaState& state);
     void handed_over() { policy_->on_handed_over(); }
     const Counts& counts() const { return counts_; }
-    // Listed endpoints that the module leaves out for now by its own choice.
+    // Number of listed endpoints that the decision module currently ejects.
     std::size_t left_out() const;
 
-    // From the endpoints, the counter and the registry.
-    void attempt_ended(Handle call, const AttemptEnd& end);
-    // An attempt's long value: its first bytes are here; pieces of it; its last byte is here. Of the first
-    // two, what the front wants: more, a pause until UpstreamPort::go_on(), or nothing, since nobody waits
-    // for it.
+    // ---- For the upstream pool, the counter and discovery.
+    void attempt_ended(Handle request, const AttemptEnd& end);
+    // An attempt's long value: its first bytes, a piece, or its last byte have arrived. The result of the
+    // first two tells the upstream pool how to go on: read more, pause until UpstreamPort::go_on(), or
+    // cancel, since no client waits for the value.
     enum class Wanted { kMore, kPause, kNothing };
-    Wanted value_begins(Handle call, std::size_t size);
-    Wanted value_piece(Handle call, std::string_view piece);
-    void value_ends(Handle call);
+    Wanted value_begins(Handle request, std::size_t size);
+    Wanted value_piece(Handle request, std::string_view piece);
+    void value_ends(Handle request);
     void probed(const EndpointId& endpoint, policy::Outcome outcome, const policy::LoadReport& report);
     void counted(const std::string& name, policy::CounterStatus status, double total);
     void listed(policy::EndpointListKind kind, const std::vector<DiscoveredEndpoint>& entries) override;
-    // Entries whose pools are others now, though nothing else of them has changed.
+    // Entries whose pools have changed while everything else is the same.
     void marked(std::vector<policy::EndpointInfo> entries);
 
 private:
-    struct Open {
-        DownstreamPort* front = nullptr;
+    struct OpenRequest {
+        DownstreamPort* downstream = nullptr;
         Ticket ticket;
         std::uint64_t name = 0;
         Payload payload;
         Timestamp due{};
         int traffic_class = 0;
         float units = 0;
-        std::uint32_t mark = 0;  // of the routes, for the first attempt
-        bool sent_on = false;    // an attempt has reached an endpoint whole
+        std::uint32_t mark = 0;  // from the routing port, for the first attempt
+        bool sent_on = false;    // an attempt has reached an endpoint completely
         int attempts = 0;
-        bool out = false;
+        bool attempt_pending = false;
         bool may_have_run = false;
-        Timestamp run_from{};  // the first attempt that may have run was sent then
+        Timestamp first_run_at{};  // when the first attempt that may have run was sent
         bool answered = false;
-        bool form = false;                      // names a form
-        std::unique_ptr<policy::Request> held;  // by the forms
-        Payload changed;       // what goes out in place of the payload; empty: the payload does
-        bool passing = false;  // first bytes of a long value have gone to the front
+        bool has_statement = false;             // its body names a prepared statement
+        std::unique_ptr<policy::Request> held;  // by the statement port
+        Payload changed;                        // sent in place of the payload unless empty
+        bool streaming = false;  // the first bytes of a long value have been passed to the client
         Timestamp sent{};
         Timestamp first_bytes{};  // of a long value
         EndpointId endpoint;
@@ -128,44 +131,45 @@
     void probe(const EndpointId& endpoint) override;
     void add_to_counter(const std::string& name, double amount, Duration life) override;
     void wake(Timestamp at) override;
-    void watch_endpoints() override {}  // the registry is watched all the time
+    void watch_endpoints() override {}  // discovery runs all the time
     void log(const std::string& text) override;
 
     template <typename Event>
-    void tell(Event event);
+    void dispatch(Event event);
     template <typename Event>
-    void guarded(const Event& event);
-    bool is_harmless(const Open& call) const;
+    void run_guarded(const Event& event);
+    bool is_harmless(const OpenRequest& open) const;
     void abandon(Handle handle, Handle attempt);
-    Timestamp write_by(const Open& call) const;
-    void settle(Handle handle, Open& call);
-    void note_use(Handle handle, Open& call, const AttemptEnd& end, const policy::AttemptResult& result);
-    void conclude(Handle handle, Open& call, const Answer& answer);
-    void overdue(Handle handle);
+    Timestamp write_by(const OpenRequest& open) const;
+    void mark_answered(Handle handle, OpenRequest& open);
+    void record_usage(Handle handle, OpenRequest& open, const AttemptEnd& end,
+                      const policy::AttemptResult& result);
+    void conclude(Handle handle, OpenRequest& open, const Answer& answer);
+    void fail_overdue(Handle handle);
     void drop_if_done(Handle handle);
-    void count_end(int traffic_class, Verdict verdict);
+    void count_answer(int traffic_class, Verdict verdict);
 
     Timers& timers_;
     UpstreamPort* endpoints_ = nullptr;
     CounterPort* counter_ = nullptr;
     RoutingPort* routes_ = nullptr;
     AccountingPort* accounts_ = nullptr;
-    StatementPort* forms_ = nullptr;
+    StatementPort* statements_ = nullptr;
     Limits limits_;
     std::vector<policy::TrafficClassSettings> classes_;
     std::vector<std::string> plan_names_;
     int max_attempts_;
     double max_units_;
-    SlotMap<Open> calls_;
-    std::unordered_set<std::uint64_t> names_;  // of those
+    SlotMap<OpenRequest> requests_;
+    std::unordered_set<std::uint64_t> client_ids_;  // client ids of the open requests
     std::size_t bytes_ = 0;
     Counts counts_;
-    proxy::NewTenantLimiter crowd_;
-    Duration come_back_;  // told to those that the new-tenant limiter rejects; 0: nothing is to be told
+    proxy::NewTenantLimiter new_tenant_limiter_;
+    Duration limiter_retry_after_;  // advice for requests that the new-tenant limiter rejects; 0: none
     Handle wake_;
     Timestamp wake_at_ = Timestamp::max();
-    bool telling_ = false;
-    std::deque<std::function<void()>> later_;
+    bool dispatching_ = false;
+    std::deque<std::function<void()>> deferred_events_;
     std::unique_ptr<policy::Policy> policy_;
 };
 
--- a/src/proxy/resp/command.cpp
+++ b/src/proxy/resp/command.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 
-// The wait counts from when the client sent the command, and the answer has its way to go: so much sooner
-// is the call over here, but never by more than a tenth of the wait.
-constexpr std::chrono::milliseconds kTravel{10};
+// The client's wait starts when it sends the command and ends when the answer arrives. The request's deadline
+// here is earlier by this network time, but never by more than a tenth of the wait.
+constexpr std::chrono::milliseconds kNetworkTime{10};
 
-// Visits the pairs of a list such as c=lookup,t=team,d=480; false where a part is no pair.
+// Visits the pairs of a list such as c=lookup,t=team,d=480. Returns false if a part is not a pair.
 template <typename Visit>
 bool each_pair(std::string_view list, Visit visit) {
     while (!list.empty()) {
@@ -34,7 +34,7 @@
     return text.size() == kDigits ? parse<std::uint64_t>(text, kDigits) : std::nullopt;
 }
 
-constexpr std::size_t kReplyItems = 3;  // value, figures on use, load report
+constexpr std::size_t kReplyItems = 3;  // value, usage, load report
 
 }  // namespace
 
@@ -59,9 +59,9 @@
     return at == plans_.end() ? std::nullopt : std::optional(at->second);
 }
 
-const char* read_call(const Message& message, const Names& names, proxy::Timestamp now,
-                      proxy::DownstreamRequest& call) {
-    // verb, tenant, id, pairs and perhaps a body
+const char* read_request(const Message& message, const Names& names, proxy::Timestamp now,
+                         proxy::DownstreamRequest& result) {
+    // verb, tenant, id, pairs and optionally a body
     if (message.items.size() < 4 || message.count > 5) return "wrong number of arguments";
     const std::string_view verb = message.items[0].text;
     const std::string_view tenant = message.items[1].text;
@@ -71,16 +71,16 @@
     if (!tenant_number || *tenant_number > kMaxTenant) return "customer is not 16 hex digits below 2^33";
     const auto id = hex16(message.items[2].text);
     if (!id) return "id is not 16 hex digits";
-    call.name = *id;
+    result.name = *id;
 
-    policy::Request& request = call.request;
+    policy::Request& request = result.request;
     request = {};
     request.tenant = tenant;
     std::optional<Names::Class> traffic_class;
     std::optional<int> plan;
     std::optional<std::int64_t> wait_ms;
     std::string_view wait_text;
-    bool good = true;
+    bool in_range = true;
     bool has_key = false;
     const bool are_pairs = each_pair(pairs, [&](std::string_view name, std::string_view value) {
         if (name == "c") traffic_class = names.find_class(value);
@@ -90,7 +90,7 @@
         if (name == "r") request.is_client_retry = value == "1";
         const auto number = [&](auto& into, auto least, auto most) {
             const auto got = parse<std::decay_t<decltype(into)>>(value);
-            if (!got || *got < least || *got > most) return void(good = false);
+            if (!got || *got < least || *got > most) return void(in_range = false);
             into = *got;
         };
         if (name == "units") number(request.units, names.kMinUnits, names.max_units);
@@ -102,7 +102,7 @@
     if (!plan) return "unknown plan";
     constexpr std::int64_t kMaxWaitMs = 3'600'000;
     if (!wait_ms || *wait_ms <= 0 || *wait_ms > kMaxWaitMs) return "bad d";
-    if (!good) return "bad number";
+    if (!in_range) return "bad number";
     using policy::Idempotency;
     if (traffic_class->idempotency == Idempotency::kKeyed && !has_key) return "no key";
     if ((verb == "Q.ASK") != (traffic_class->idempotency == Idempotency::kIdempotent))
@@ -110,10 +110,10 @@
     request.traffic_class = traffic_class->number;
     request.plan = *plan;
     const std::chrono::milliseconds wait(*wait_ms);
-    request.due = now + wait - std::min(kTravel, wait / 10);
+    request.due = now + wait - std::min(kNetworkTime, wait / 10);
 
-    // Kept ready to be sent on: all but the wait is passed on unchanged.
-    proxy::Payload& payload = call.payload;
+    // Stores the command for forwarding: everything but the wait is sent unchanged.
+    proxy::Payload& payload = result.payload;
     payload.bytes.clear();
     write_array(payload.bytes, message.count);
     for (int i = 0; i < 3; ++i) write_bulk(payload.bytes, message.items[static_cast<std::size_t>(i)].text);
@@ -135,7 +135,7 @@
     return nullptr;
 }
 
-std::string_view write_call(std::string& out, const proxy::Payload& payload, proxy::Duration wait) {
+std::string_view write_request(std::string& out, const proxy::Payload& payload, proxy::Duration wait) {
     const auto ms = std::max<std::int64_t>(1, std::chrono::ceil<std::chrono::milliseconds>(wait).count());
     const std::string text = std::to_string(ms);
     const std::string_view bytes = payload.bytes;
@@ -195,7 +195,7 @@
 }
 
 proxy::AttemptEnd read_reply(const Message& message) {
-    proxy::AttemptEnd end;  // broken, unless it turns out to be an answer of an endpoint's
+    proxy::AttemptEnd end;  // kBroken, unless the message is a valid reply
     end.stage = proxy::Stage::kAnswering;
     if (!may_become_reply(message)) return end;
     const std::string_view first = message.items.front().text;
@@ -210,12 +210,12 @@
     }
     end.ending = proxy::Ending::kServed;
     end.value = first;
-    read_behind(message.items[1].text, 0, end);
-    read_behind(message.items[2].text, 1, end);
+    read_reply_field(message.items[1].text, 0, end);
+    read_reply_field(message.items[2].text, 1, end);
     return end;
 }
 
-void read_behind(std::string_view text, int place, proxy::AttemptEnd& end) {
+void read_reply_field(std::string_view text, int place, proxy::AttemptEnd& end) {
     if (place == 1) {
         end.report = read_report(text);
         return;
--- a/src/proxy/resp/command.h
+++ b/src/proxy/resp/command.h
@@ -1,4 +1,5 @@
-// The commands and answers of the platform's protocol, in terms of the core.
+// Translates the platform's commands and replies between RESP messages and the types of the request manager.
+// Used by the downstream server, the upstream pool and the one-shot client.
 #pragma once
 
 #include <optional>
@@ -12,10 +13,10 @@
 
 namespace linnetlead::resp {
 
-// Whether an error line's text begins with the word.
+// Whether the text of an error line starts with `word`.
 bool is_word(std::string_view text, std::string_view word);
 
-// Class and plan names as the settings give them, and the ranges of numbers.
+// Traffic class and plan names from the settings, and the valid ranges of numbers.
 class Names {
 public:
     explicit Names(const policy::Settings& settings);
@@ -36,30 +37,30 @@
     std::unordered_map<std::string, int> plans_;
 };
 
-// Reads Q.ASK or Q.DO into a call whose deadline counts from `now`. Returns the error reply's text, or
-// nullptr when it was read. Of a message with a long body, all but the body.
-const char* read_call(const Message& message, const Names& names, proxy::Timestamp now,
-                      proxy::DownstreamRequest& call);
+// Parses Q.ASK or Q.DO into a request whose deadline is relative to `now`. Returns the text of an error
+// reply, or nullptr on success. The body of a message with a long body is not included.
+const char* read_request(const Message& message, const Names& names, proxy::Timestamp now,
+                         proxy::DownstreamRequest& result);
 
-// The same command for an endpoint, saying how long the gateway will wait. Returns what of it is still to be
-// written: a long body's rest, a slice of the payload.
-std::string_view write_call(std::string& out, const proxy::Payload& payload, proxy::Duration wait);
+// Writes the command for an endpoint, with the time that the gateway will wait. Returns the part that is
+// still to be written: the rest of a long body, as a slice of the payload.
+std::string_view write_request(std::string& out, const proxy::Payload& payload, proxy::Duration wait);
 
-// The body of a command kept ready to be sent on; empty: it has none.
+// The body of a command in a payload; empty: it has none.
 std::string_view body_of(const proxy::Payload& payload);
-// The same command with another body, in two parts.
+// Copies the command with another body, which is `head` followed by `rest`.
 proxy::Payload with_body(const proxy::Payload& payload, std::string_view head, std::string_view rest);
-// A command of the gateway's own to an endpoint, whole.
+// Builds a complete command that the gateway itself sends to an endpoint.
 std::string write_own_call(std::string_view verb, std::uint64_t id, std::string_view pairs,
                            std::string_view body);
 
-// An endpoint's whole reply. What cannot be read in its figures or its report spoils neither.
+// Parses an endpoint's complete reply. Unreadable fields in its usage or its load report are ignored.
 proxy::AttemptEnd read_reply(const Message& message);
 
-// What stands behind the value of a reply: 0, the figures on use; 1, the report.
-void read_behind(std::string_view text, int place, proxy::AttemptEnd& end);
+// Parses a field that follows the value of a reply. `place` 0: the usage; 1: the load report.
+void read_reply_field(std::string_view text, int place, proxy::AttemptEnd& end);
 
-// False where what has come so far can become no reply of an endpoint's: known before it is whole.
+// Whether the part received so far can be the start of an endpoint's reply.
 bool may_become_reply(const Message& message);
 
 policy::LoadReport read_report(std::string_view text);
--- a/src/proxy/resp/parser.cpp
+++ b/src/proxy/resp/parser.cpp
@@ -8,15 +8,15 @@
 
 class Reader {
 public:
-    Reader(std::string_view buffer, std::size_t most) : buffer_(buffer), most_(most) {}
+    Reader(std::string_view buffer, std::size_t max_bulk) : buffer_(buffer), max_bulk_(max_bulk) {}
 
     std::size_t taken() const { return at_; }
     std::size_t left() const { return left_; }
 
-    // A type byte and the rest of its line.
-    Parsed line(char& type, std::string_view& rest) {
+    // Reads a type byte and the rest of its line.
+    Parsed read_line(char& type, std::string_view& rest) {
         const auto end = buffer_.find('\n', at_);
-        // Guards against noise without an end: its first byte tells, nobody has to wait for a line's end.
+        // Rejects garbage by its first byte, since a line end might never arrive.
         constexpr std::string_view kTypes = "+-:$*";
         if (at_ < buffer_.size() && kTypes.find(buffer_[at_]) == std::string_view::npos) {
             return Parsed::kMalformed;
@@ -31,7 +31,7 @@
         return Parsed::kWhole;
     }
 
-    Parsed bulk(std::size_t size, std::string_view& text) {
+    Parsed read_bulk(std::size_t size, std::string_view& text) {
         if (at_ + size + 2 > kMaxMessage) return Parsed::kMalformed;
         if (buffer_.size() - at_ < size + 2) return Parsed::kPartial;
         if (buffer_.substr(at_ + size, 2) != "\r\n") return Parsed::kMalformed;
@@ -40,7 +40,7 @@
         return Parsed::kWhole;
     }
 
-    Parsed item(char type, std::string_view rest, Item& item) {
+    Parsed read_item(char type, std::string_view rest, Item& item) {
         item.text = rest;
         switch (type) {
             case '+':
@@ -58,51 +58,51 @@
                     return Parsed::kWhole;
                 }
                 std::size_t size = 0;
-                if (!length(rest, kMaxLong, size)) return Parsed::kMalformed;
-                if (size > most_) {
+                if (!read_length(rest, kMaxLong, size)) return Parsed::kMalformed;
+                if (size > max_bulk_) {
                     left_ = size;
                     return Parsed::kLongBulk;
                 }
                 item.type = Type::kBulk;
-                return bulk(size, item.text);
+                return read_bulk(size, item.text);
             }
             default:
                 return Parsed::kMalformed;
         }
     }
 
-    static bool length(std::string_view text, std::size_t most, std::size_t& value) {
+    static bool read_length(std::string_view text, std::size_t max, std::size_t& value) {
         const auto result = std::from_chars(text.data(), text.data() + text.size(), value);
-        return result.ec == std::errc{} && result.ptr == text.data() + text.size() && value <= most;
+        return result.ec == std::errc{} && result.ptr == text.data() + text.size() && value <= max;
     }
 
 private:
     std::string_view buffer_;
-    std::size_t most_;
+    std::size_t max_bulk_;
     std::size_t at_ = 0;
     std::size_t left_ = 0;
 };
 
 }  // namespace
 
-Parsed parse(std::string_view buffer, Message& message, std::size_t most) {
+Parsed parse(std::string_view buffer, Message& message, std::size_t max_bulk) {
     message.items.clear();
     message.array = false;
     message.count = 0;
     message.size = message.left = 0;
-    Reader reader(buffer, most);
+    Reader reader(buffer, max_bulk);
     char type = 0;
     std::string_view rest;
-    if (const Parsed got = reader.line(type, rest); got != Parsed::kWhole) return got;
+    if (const Parsed got = reader.read_line(type, rest); got != Parsed::kWhole) return got;
     message.array = type == '*';
     message.count = 1;
-    if (message.array && !Reader::length(rest, kMaxItems, message.count)) return Parsed::kMalformed;
+    if (message.array && !Reader::read_length(rest, kMaxItems, message.count)) return Parsed::kMalformed;
     for (std::size_t i = 0; i < message.count; ++i) {
         if (message.array) {
-            if (const Parsed got = reader.line(type, rest); got != Parsed::kWhole) return got;
+            if (const Parsed got = reader.read_line(type, rest); got != Parsed::kWhole) return got;
         }
         Item item;
-        if (const Parsed got = reader.item(type, rest, item); got != Parsed::kWhole) {
+        if (const Parsed got = reader.read_item(type, rest, item); got != Parsed::kWhole) {
             message.size = reader.taken();
             message.left = reader.left();
             return got;
--- a/src/proxy/resp/parser.h
+++ b/src/proxy/resp/parser.h
@@ -1,4 +1,5 @@
-// RESP2, read from and written to buffers. No input or output of its own.
+// Parser and writer of the RESP2 protocol on buffers, without I/O. Used by the downstream server and by the
+// clients of endpoints and of the counter service.
 #pragma once
 
 #include <cstddef>
@@ -8,10 +9,10 @@
 
 namespace linnetlead::resp {
 
-constexpr std::size_t kMaxBulk = 64 * 1024;               // a value's most bytes that is read whole
-constexpr std::size_t kMaxLong = 4 * 1024 * 1024;         // and in pieces
-constexpr std::size_t kMaxMessage = kMaxBulk + 8 * 1024;  // no buffer has to hold more
-constexpr std::size_t kMaxItems = 64;                     // of an array
+constexpr std::size_t kMaxBulk = 64 * 1024;               // longest value that is buffered completely
+constexpr std::size_t kMaxLong = 4 * 1024 * 1024;         // longest value that is streamed in pieces
+constexpr std::size_t kMaxMessage = kMaxBulk + 8 * 1024;  // longest message that a buffer has to hold
+constexpr std::size_t kMaxItems = 64;                     // per array
 constexpr std::size_t kMaxLine = 1024;
 
 enum class Type { kSimple, kError, kInteger, kBulk, kNull };
@@ -23,19 +24,19 @@
 
 struct Message {
     bool array = false;
-    std::vector<Item> items;  // one unless it is an array
-    std::size_t count = 0;    // of items, as announced: known before all of them are there
-    std::size_t size = 0;     // bytes of the buffer that it takes
-    std::size_t left = 0;     // of a long one: bytes of the bulk that follow these, without its end of line
+    std::vector<Item> items;  // exactly one unless it is an array
+    std::size_t count = 0;    // announced number of items, known before all of them are received
+    std::size_t size = 0;     // bytes of the buffer that the message occupies
+    std::size_t left = 0;     // of a long bulk: bytes that follow, without its line end
 };
 
-// Long: a bulk over the bound begins behind `size` bytes; the items before it are there.
+// kLongBulk: a bulk string over the bound starts after `size` bytes; the items before it are parsed.
 enum class Parsed { kWhole, kPartial, kMalformed, kLongBulk };
 
-// Reads the message at the start of the buffer. A partial one is read again from its start once more bytes
-// are there: bulks are stepped over, so that this costs little. Arrays inside arrays are malformed here.
-// `most`: bytes of a bulk that is not long, kMaxBulk at most.
-Parsed parse(std::string_view buffer, Message& message, std::size_t most = kMaxBulk);
+// Parses the message at the start of the buffer. A partial message is parsed again from its start when more
+// bytes have arrived; this is cheap, because bulk strings are skipped by their length. Nested arrays count as
+// malformed. `max_bulk`: longest bulk string that does not count as long, at most kMaxBulk.
+Parsed parse(std::string_view buffer, Message& message, std::size_t max_bulk = kMaxBulk);
 
 void write_bulk(std::string& out, std::string_view text);
 void write_array(std::string& out, std::size_t items);
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -19,10 +19,11 @@
 namespace {
 
 constexpr Duration kProbeTimeout = std::chrono::milliseconds(250);
-// Of a long value, or of what comes behind it: peers take seconds, but not so many.
-constexpr Duration kStallsFor = std::chrono::seconds(15);
-constexpr Duration kTailWithin = std::chrono::seconds(1);
-constexpr Duration kTimeToRest = std::chrono::milliseconds(5);  // before a connection takes its next call
+// Longest pause within a long value: slow clients and endpoints take seconds, but not this many.
+constexpr Duration kStreamStallTimeout = std::chrono::seconds(15);
+constexpr Duration kTailTimeout = std::chrono::seconds(1);  // for the fields after a long value
+constexpr Duration kMinIdleTime =
+    std::chrono::milliseconds(5);  // idle time before a connection takes its next request
 
 }  // namespace
 
@@ -31,50 +32,52 @@
     Connection(Loop& loop, UpstreamPool& pool, EndpointId id)
         : Stream(loop), endpoint(std::move(id)), pool_(pool) {}
 
-    // What is to be done on the connection: a call, or without a payload a probe.
-    void begin(Handle call, const proxy::Payload* payload, const Limits& limits) {
-        call_ = call;
+    // Starts a request on the connection, or a probe if there is no payload.
+    void begin(Handle request, const proxy::Payload* payload, const Limits& limits) {
+        request_ = request;
         payload_ = payload;
         until_ = limits.until;
         write_by_ = limits.write_by;
         busy_ = true;
-        answering_ = counted_ = false;
+        answering_ = counted_in_tries_ = false;
         reused_ = connected_;
         body_left_ = {};
         part_ = Part::kHead;
-        stir();
-        begun_ = loop().now();
+        leave_idle();
+        started_ = loop().now();
         loop().disarm(timer_);
         if (connected_) return write();
         arm(std::min({until_, write_by_, loop().now() + pool_.bounds_.connect_timeout}));
     }
 
-    // Ends the attempt that is out. A reusable connection rests until the next; any other is closed, which is
-    // also how an attempt is given up.
+    // Ends the current attempt. A reusable connection becomes idle; any other is closed, which also cancels
+    // an attempt.
     void end(AttemptEnd end, bool reusable = false) {
         end.stage = stage();
         busy_ = false;
         loop().disarm(std::exchange(timer_, {}));
         if (reusable && !pool_.retiring_) {
-            rest();
+            become_idle();
         } else {
             close();
         }
         if (payload_) {
-            pool_.gateway_.attempt_ended(call_, end);
+            pool_.gateway_.attempt_ended(request_, end);
         } else {
             pool_.gateway_.probed(endpoint, proxy::outcome_of(end), end.report);
         }
     }
 
     bool busy() const { return busy_; }
-    Timestamp rests_since() const { return rests_since_; }
-    bool unsent_call() const { return busy_ && stage() < Stage::kWritten; }
-    // Whether its client's leaving leaves it without a purpose.
-    bool only_for_client() const { return unsent_call() || (busy_ && payload_ && part_ == Part::kValue); }
+    Timestamp idle_since() const { return idle_since_; }
+    bool is_request_unsent() const { return busy_ && stage() < Stage::kWritten; }
+    // Whether the attempt is pointless once the client has disconnected.
+    bool is_pointless_without_client() const {
+        return is_request_unsent() || (busy_ && payload_ && part_ == Part::kValue);
+    }
     void go_on() {
         if (part_ != Part::kValue) return;
-        arm(loop().now() + kStallsFor);
+        arm(loop().now() + kStreamStallTimeout);
         read_more(true);
     }
 
@@ -92,7 +95,7 @@
         arm(std::min(until_, write_by_));
         std::string& out = to_write();
         if (payload_) {
-            body_left_ = resp::write_call(out, *payload_, until_ - loop().now());
+            body_left_ = resp::write_request(out, *payload_, until_ - loop().now());
         } else {
             out.append("*2\r\n$4\r\nINFO\r\n$4\r\nload\r\n");
         }
@@ -107,21 +110,21 @@
             } else if (busy_) {
                 end({Stage::kUnconnected, Ending::kTimedOut, {}, 0, {}});
             } else {
-                close();  // idle for so long that the endpoint is about to close it
+                close();  // idle for so long that the endpoint is about to close the connection
             }
         });
     }
 
-    void rest() {
-        rests_since_ = loop().now();
-        place_ = pool_.resting_.insert(pool_.resting_.end(), self);
-        resting_ = true;
-        arm(rests_since_ + pool_.bounds_.idle * 8 / 10);
+    void become_idle() {
+        idle_since_ = loop().now();
+        idle_position_ = pool_.idle_by_age_.insert(pool_.idle_by_age_.end(), self);
+        is_idle_ = true;
+        arm(idle_since_ + pool_.bounds_.idle * 8 / 10);
         pool_.endpoints_.at(endpoint).idle.push_back(self);
     }
 
-    void stir() {
-        if (std::exchange(resting_, false)) pool_.resting_.erase(place_);
+    void leave_idle() {
+        if (std::exchange(is_idle_, false)) pool_.idle_by_age_.erase(idle_position_);
     }
 
     void on_connected() override {
@@ -132,18 +135,18 @@
 
     void on_written() override {
         if (busy_ && !body_left_.empty()) {
-            // A long body goes out piece by piece, and is not copied whole.
+            // A long body is written in pieces, so that it is not copied as a whole.
             to_write().append(body_left_.substr(0, resp::kMaxBulk));
             body_left_.remove_prefix(std::min(body_left_.size(), resp::kMaxBulk));
             return;
         }
         if (!busy_ || !payload_ || !connected_) return;
         if (std::exchange(write_by_, Timestamp::max()) < until_ && part_ == Part::kHead) arm(until_);
-        if (!std::exchange(counted_, true)) ++pool_.tries_;
+        if (!std::exchange(counted_in_tries_, true)) ++pool_.tries_;
     }
 
     std::size_t on_bytes(std::string_view bytes) override {
-        if (!busy_) {  // an answer to nothing
+        if (!busy_) {  // bytes without a request
             close();
             return bytes.size();
         }
@@ -159,7 +162,7 @@
             end({});
             return bytes.size();
         }
-        // Guards against spoilt answers: the call may have run, and its client hears so at once.
+        // An invalid reply: the request may have run, and the client is answered at once.
         if (parsed == resp::Parsed::kMalformed || (payload_ && !resp::may_become_reply(message))) {
             end({});
             return bytes.size();
@@ -174,23 +177,22 @@
         } else {
             answer.ending = Ending::kError;
         }
-        // Bytes behind the answer, or an answer before the call was out, leave the next one in doubt.
+        // If bytes follow the reply, or it came before the request was written, the connection is not reused.
         const bool clean = message.size == bytes.size() && unsent() == 0 && answer.ending != Ending::kBroken;
         const auto at = pool_.endpoints_.find(endpoint);
-        if (answer.ending == Ending::kServed) pool_.note_reuse({}, true);
-        end(answer, clean && at != pool_.endpoints_.end() && at->second.wanted);
+        if (answer.ending == Ending::kServed) pool_.adapt_reuse_limit({}, true);
+        end(answer, clean && at != pool_.endpoints_.end() && at->second.is_usable);
         return bytes.size();
     }
 
-    // Nothing goes to the client before the first byte of the value is here: until then another attempt may
-    // follow.
+    // Nothing is sent to the client before the value's first byte arrives: until then a retry is possible.
     std::size_t begin_value(std::string_view bytes, const resp::Message& message) {
         if (bytes.size() == message.size) return 0;
         value_left_ = message.left;
         const std::size_t head = message.size;
         part_ = Part::kValue;
         loop().disarm(std::exchange(timer_, {}));
-        if (pool_.gateway_.value_begins(call_, value_left_) == proxy::RequestManager::Wanted::kNothing) {
+        if (pool_.gateway_.value_begins(request_, value_left_) == proxy::RequestManager::Wanted::kNothing) {
             end({Stage::kAnswering, Ending::kGivenUp, {}, 0, {}, {}});
             return bytes.size();
         }
@@ -200,16 +202,16 @@
     std::size_t pass_value(std::string_view bytes) {
         using Wanted = proxy::RequestManager::Wanted;
         const std::size_t size = std::min(value_left_, bytes.size());
-        arm(loop().now() + kStallsFor);
+        arm(loop().now() + kStreamStallTimeout);
         if (size > 0) {
             value_left_ -= size;
-            const Wanted wanted = pool_.gateway_.value_piece(call_, bytes.substr(0, size));
-            if (closing()) return bytes.size();  // its client went away within
-            if (wanted == Wanted::kNothing) {
+            const Wanted next = pool_.gateway_.value_piece(request_, bytes.substr(0, size));
+            if (closing()) return bytes.size();  // the client disconnected meanwhile
+            if (next == Wanted::kNothing) {
                 end({Stage::kAnswering, Ending::kGivenUp, {}, 0, {}, {}});
                 return bytes.size();
             }
-            if (wanted == Wanted::kPause) read_more(false);
+            if (next == Wanted::kPause) read_more(false);
         }
         if (value_left_ > 0 || bytes.size() - size < kLineEnd.size()) return size;
         if (bytes.substr(size, kLineEnd.size()) != kLineEnd) {
@@ -221,13 +223,14 @@
         tail_.ending = Ending::kServed;
         tail_items_ = 0;
         read_more(true);
-        arm(loop().now() + kTailWithin);
-        pool_.gateway_.value_ends(call_);
-        pool_.note_reuse({}, true);
+        arm(loop().now() + kTailTimeout);
+        pool_.gateway_.value_ends(request_);
+        pool_.adapt_reuse_limit({}, true);
         return size + kLineEnd.size() + read_tail(bytes.substr(size + kLineEnd.size()));
     }
 
-    // Figures and report behind a long value: its client has had it, whatever they are.
+    // Reads the usage and the load report after a long value. The value has already been delivered, whatever
+    // they contain.
     std::size_t read_tail(std::string_view bytes) {
         std::size_t taken = 0;
         resp::Message& message = pool_.message_;
@@ -239,22 +242,23 @@
                 return bytes.size();
             }
             taken += message.size;
-            resp::read_behind(message.items.front().text, tail_items_++, tail_);
+            resp::read_reply_field(message.items.front().text, tail_items_++, tail_);
         }
         const auto at = pool_.endpoints_.find(endpoint);
-        end(tail_, taken == bytes.size() && at != pool_.endpoints_.end() && at->second.wanted);
+        end(tail_, taken == bytes.size() && at != pool_.endpoints_.end() && at->second.is_usable);
         return bytes.size();
     }
 
     void on_end(int) override {
-        const bool at_once = loop().now() - begun_ < pool_.bounds_.connect_timeout / 10;
-        if (busy_ && reused_ && !answering_ && at_once) pool_.note_reuse(begun_ - rests_since_, false);
+        const bool at_once = loop().now() - started_ < pool_.bounds_.connect_timeout / 10;
+        if (busy_ && reused_ && !answering_ && at_once)
+            pool_.adapt_reuse_limit(started_ - idle_since_, false);
         if (busy_) end(part_ == Part::kTail ? tail_ : AttemptEnd{});
     }
 
     void on_released() override {
         loop().disarm(timer_);
-        stir();
+        leave_idle();
         const auto at = pool_.endpoints_.find(endpoint);
         if (at != pool_.endpoints_.end()) {
             for (auto* all : {&at->second.idle, &at->second.open}) {
@@ -268,29 +272,29 @@
     static constexpr std::string_view kLineEnd = "\r\n";
 
     UpstreamPool& pool_;
-    Handle call_;
-    const proxy::Payload* payload_ = nullptr;  // the core keeps it while the attempt is out
+    Handle request_;
+    const proxy::Payload* payload_ = nullptr;  // kept by the request manager during the attempt
     std::string_view body_left_;               // of the payload, still to be written
-    Part part_ = Part::kHead;                  // of the answer
-    std::size_t value_left_ = 0;               // bytes of a long one
-    AttemptEnd tail_;                          // of a long value: what has been read behind it
+    Part part_ = Part::kHead;                  // of the reply that is expected next
+    std::size_t value_left_ = 0;               // bytes of a long value still to arrive
+    AttemptEnd tail_;                          // result after a long value, with the fields read so far
     int tail_items_ = 0;
     Timestamp until_{};
     Timestamp write_by_{};
-    Timestamp rests_since_{};
-    Timestamp begun_{};
+    Timestamp idle_since_{};
+    Timestamp started_{};
     Handle timer_;
-    std::list<Handle>::iterator place_;
-    bool resting_ = false;
+    std::list<Handle>::iterator idle_position_;
+    bool is_idle_ = false;
     bool connected_ = false;
     bool busy_ = false;
     bool answering_ = false;
-    bool counted_ = false;  // as written whole
+    bool counted_in_tries_ = false;  // in tries_
     bool reused_ = false;
 };
 
 UpstreamPool::UpstreamPool(Loop& loop, proxy::RequestManager& gateway, Bounds bounds)
-    : loop_(loop), gateway_(gateway), bounds_(bounds), reuse_within_(bounds.idle) {}
+    : loop_(loop), gateway_(gateway), bounds_(bounds), max_reuse_idle_(bounds.idle) {}
 UpstreamPool::~UpstreamPool() = default;
 
 void UpstreamPool::close() {
@@ -299,18 +303,18 @@
 
 void UpstreamPool::retire(bool on) {
     retiring_ = on;
-    if (on) limit_resting(0);
+    if (on) close_idle_above(0);
 }
 
 void UpstreamPool::limit(std::size_t connections) {
     bounds_.connections = connections;
-    limit_resting(connections);
+    close_idle_above(connections);
 }
 
-// Closes what rests longest, until there are so many connections or none rests.
-void UpstreamPool::limit_resting(std::size_t most) {
-    std::size_t surplus = connections_.size() > most ? connections_.size() - most : 0;
-    for (auto at = resting_.begin(); at != resting_.end() && surplus > 0; ++at) {
+// Closes the longest idle connections until at most this many connections remain or none is idle.
+void UpstreamPool::close_idle_above(std::size_t max_connections) {
+    std::size_t surplus = connections_.size() > max_connections ? connections_.size() - max_connections : 0;
+    for (auto at = idle_by_age_.begin(); at != idle_by_age_.end() && surplus > 0; ++at) {
         Connection* const longest = connections_.find(*at);
         if (!longest || longest->closing()) continue;
         longest->close();
@@ -318,14 +322,14 @@
     }
 }
 
-Handle UpstreamPool::start(Handle call, const EndpointId& endpoint, const proxy::Payload& payload,
+Handle UpstreamPool::start(Handle request, const EndpointId& endpoint, const proxy::Payload& payload,
                            const Limits& limits) {
     Connection* connection = connection_to(endpoint);
     if (!connection) {
-        gateway_.attempt_ended(call, {});
+        gateway_.attempt_ended(request, {});
         return {};
     }
-    connection->begin(call, &payload, limits);
+    connection->begin(request, &payload, limits);
     return connection->self;
 }
 
@@ -337,12 +341,12 @@
 
 void UpstreamPool::client_gone(Handle attempt) {
     const Connection* connection = connections_.find(attempt);
-    if (connection && connection->only_for_client()) give_up(attempt);
+    if (connection && connection->is_pointless_without_client()) give_up(attempt);
 }
 
 bool UpstreamPool::is_unsent(Handle attempt) {
     const Connection* connection = connections_.find(attempt);
-    return connection && connection->unsent_call();
+    return connection && connection->is_request_unsent();
 }
 
 void UpstreamPool::go_on(Handle attempt) {
@@ -358,20 +362,20 @@
     }
 }
 
-// The idle connection used last, or a new one.
+// Returns the most recently used idle connection, or a new one.
 UpstreamPool::Connection* UpstreamPool::connection_to(const EndpointId& id) {
     const auto at = endpoints_.find(id);
-    if (at == endpoints_.end() || !at->second.wanted) return nullptr;
+    if (at == endpoints_.end() || !at->second.is_usable) return nullptr;
     Endpoint& endpoint = at->second;
-    // Guards against surplus behind an answer, which would be taken for the next one's: it is given time to
-    // come, and nothing may lie there unread.
+    // Surplus bytes after a reply would be taken for the next reply. A connection is therefore reused only
+    // after a short time and if nothing is unread on it.
     const Timestamp now = loop_.now();
     for (std::size_t i = endpoint.idle.size(); i-- > 0;) {
         Connection* idle = connections_.find(endpoint.idle[i]);
-        if (idle && !idle->closing() && now - idle->rests_since() < kTimeToRest) continue;
+        if (idle && !idle->closing() && now - idle->idle_since() < kMinIdleTime) continue;
         endpoint.idle.erase(endpoint.idle.begin() + static_cast<std::ptrdiff_t>(i));
         if (!idle || idle->closing()) continue;
-        if (idle->is_quiet() && now - idle->rests_since() < reuse_within_) return idle;
+        if (idle->is_quiet() && now - idle->idle_since() < max_reuse_idle_) return idle;
         idle->close();
     }
     if (!make_room()) return nullptr;
@@ -386,103 +390,103 @@
     return connection;
 }
 
-// Guards against endpoints, or what lies between, that drop resting connections sooner than the settings say
-// and reset the next call on one: what may have run, an unsafe call cannot be sent again for. A new
-// connection is cheap. Rests that were too long are halved; calls that are served lengthen them little by
-// little.
-void UpstreamPool::note_reuse(Duration rested, bool good) {
-    constexpr int kSlowly = 400;
-    const Duration wanted =
-        good ? reuse_within_ + reuse_within_ / kSlowly : std::min(reuse_within_, rested) / 2;
-    reuse_within_ = std::clamp(wanted, kTimeToRest, bounds_.idle);
+// Adapts to endpoints or middleboxes that drop idle connections sooner than the settings say and reset the
+// next request on them: a non-idempotent request that may have run cannot be retried, while a new connection
+// is cheap. A reset halves the idle time allowed for reuse; each served request lengthens it slightly.
+void UpstreamPool::adapt_reuse_limit(Duration idle_time, bool good) {
+    constexpr int kGrowthDivisor = 400;
+    const Duration next =
+        good ? max_reuse_idle_ + max_reuse_idle_ / kGrowthDivisor : std::min(max_reuse_idle_, idle_time) / 2;
+    max_reuse_idle_ = std::clamp(next, kMinIdleTime, bounds_.idle);
 }
 
 bool UpstreamPool::make_room() {
     if (connections_.size() < bounds_.connections) return true;
-    for (const Handle resting : resting_) {
-        Connection* const longest = connections_.find(resting);
-        if (!longest || longest->closing()) continue;  // on its way out already
+    for (const Handle idle : idle_by_age_) {
+        Connection* const longest = connections_.find(idle);
+        if (!longest || longest->closing()) continue;  // already closing
         longest->close();
         return true;
     }
     return false;
 }
 
-// Costs as much as has changed, but for a whole list, which costs as much as the list.
+// Takes time proportional to the number of entries, and for a whole list to the number of known endpoints.
 void UpstreamPool::told(const std::vector<proxy::DiscoveredEndpoint>& entries, bool whole) {
-    ++round_;
+    ++update_number_;
     for (const proxy::DiscoveredEndpoint& listed : entries) {
         Endpoint& endpoint = endpoints_[listed.entry.id];
         const bool fresh = endpoint.address != listed.address || endpoint.started != listed.entry.started;
         if (fresh) {
-            forget_connections(endpoint);
-            moved(listed.entry.id, endpoint.address, listed.address);
+            release_connections(endpoint);
+            update_address_index(listed.entry.id, endpoint.address, listed.address);
             endpoint.address = listed.address;
             endpoint.started = listed.entry.started;
         }
-        endpoint.round = round_;
-        endpoint.wanted = listed.entry.state == policy::EndpointState::kInService &&
-                          read_address(listed.address, endpoint.to);
+        endpoint.last_update = update_number_;
+        endpoint.is_usable = listed.entry.state == policy::EndpointState::kInService &&
+                             read_address(listed.address, endpoint.to);
     }
     for (const proxy::DiscoveredEndpoint& listed : entries) {
-        if (endpoints_[listed.entry.id].wanted) drop_predecessors(listed);
+        if (endpoints_[listed.entry.id].is_usable) drop_predecessors(listed);
     }
-    // Guards the table against ever-new ids: gone ones leave it, by a whole list or a change alike.
+    // Removes endpoints that are gone, on a whole list as on a change, so that new ids cannot grow the table.
     for (const proxy::DiscoveredEndpoint& listed : entries) {
         const auto at = endpoints_.find(listed.entry.id);
-        if (at == endpoints_.end() || at->second.wanted) continue;
-        forget_connections(at->second);
-        if (listed.entry.state == policy::EndpointState::kRemoved) unlist(listed.entry.id);
+        if (at == endpoints_.end() || at->second.is_usable) continue;
+        release_connections(at->second);
+        if (listed.entry.state == policy::EndpointState::kRemoved) remove_endpoint(listed.entry.id);
     }
     if (!whole) return;
     std::vector<EndpointId> gone;
     for (auto& [id, endpoint] : endpoints_) {
-        if (endpoint.round != round_) gone.push_back(id);
+        if (endpoint.last_update != update_number_) gone.push_back(id);
     }
-    for (const EndpointId& id : gone) unlist(id);
+    for (const EndpointId& id : gone) remove_endpoint(id);
 }
 
-void UpstreamPool::unlist(const EndpointId& id) {
+void UpstreamPool::remove_endpoint(const EndpointId& id) {
     const auto at = endpoints_.find(id);
     if (at == endpoints_.end()) return;
-    at->second.wanted = false;
-    forget_connections(at->second);
-    moved(id, at->second.address, {});
+    at->second.is_usable = false;
+    release_connections(at->second);
+    update_address_index(id, at->second.address, {});
     endpoints_.erase(id);
 }
 
-void UpstreamPool::moved(const EndpointId& id, const std::string& from, const std::string& to) {
-    if (const auto at = at_address_.find(from); at != at_address_.end()) {
+void UpstreamPool::update_address_index(const EndpointId& id, const std::string& from,
+                                        const std::string& to) {
+    if (const auto at = ids_by_address_.find(from); at != ids_by_address_.end()) {
         auto& ids = at->second;
         ids.erase(std::remove(ids.begin(), ids.end(), id), ids.end());
-        if (ids.empty()) at_address_.erase(at);
+        if (ids.empty()) ids_by_address_.erase(at);
     }
-    if (!to.empty()) at_address_[to].push_back(id);
+    if (!to.empty()) ids_by_address_[to].push_back(id);
 }
 
-// Guards a new endpoint against calls meant for one that is gone but still listed: what is sent to that one's
-// address reaches the new one, unaware of how cold it is.
+// Stops sending to an endpoint that is gone but still listed if a new one has its address: requests for the
+// old one would reach the new one without its slow start.
 void UpstreamPool::drop_predecessors(const proxy::DiscoveredEndpoint& successor) {
-    const auto at = at_address_.find(successor.address);
-    if (at == at_address_.end() || at->second.size() < 2) return;
+    const auto at = ids_by_address_.find(successor.address);
+    if (at == ids_by_address_.end() || at->second.size() < 2) return;
     for (const EndpointId& id : at->second) {
         Endpoint& endpoint = endpoints_.at(id);
         if (id == successor.entry.id || endpoint.started >= successor.entry.started) continue;
-        endpoint.wanted = false;
-        forget_connections(endpoint);
+        endpoint.is_usable = false;
+        release_connections(endpoint);
     }
 }
 
-// Closes the idle connections, and ends what has not been sent yet: on a connection that comes up later it
-// would go out after the endpoint had asked for nothing more.
-void UpstreamPool::forget_connections(Endpoint& endpoint) {
+// Closes the idle connections and ends the attempts that are not written yet: on a connection that comes up
+// later they would reach an endpoint that no longer accepts requests.
+void UpstreamPool::release_connections(Endpoint& endpoint) {
     for (const Handle idle : std::exchange(endpoint.idle, {})) {
         if (Connection* connection = connections_.find(idle)) connection->close();
     }
-    const std::vector<Handle> open = endpoint.open;  // ends take them off it
+    const std::vector<Handle> open = endpoint.open;  // end() removes them from endpoint.open
     for (const Handle one : open) {
         Connection* const connection = connections_.find(one);
-        if (connection && connection->unsent_call()) connection->end({});
+        if (connection && connection->is_request_unsent()) connection->end({});
     }
 }
 
--- a/src/proxy/upstream_pool.h
+++ b/src/proxy/upstream_pool.h
@@ -1,4 +1,5 @@
-// The endpoints' side: connections to each endpoint, one call at a time on each.
+// Pool of connections to the endpoints, with one request at a time on each connection. The request manager
+// starts attempts and probes on it; discovery's endpoint list reaches it through told().
 #pragma once
 
 #include <list>
@@ -32,13 +33,13 @@
     void probe(const proxy::EndpointId& endpoint) override;
     void told(const std::vector<proxy::DiscoveredEndpoint>& entries, bool whole) override;
 
-    // No connection rests any more: another process takes over. False: as usual.
+    // Another process takes over: idle connections are closed and none is kept. False: normal operation.
     void retire(bool on);
     void limit(std::size_t connections);
 
     std::size_t endpoints() const { return endpoints_.size(); }
     std::size_t connections() const { return connections_.size(); }
-    // Attempts written whole, since the start.
+    // Number of attempts written completely since the start.
     std::uint64_t tries() const { return tries_; }
 
 private:
@@ -47,34 +48,34 @@
         std::string address;
         sockaddr_storage to{};
         proxy::Timestamp started{};
-        bool wanted = false;              // listed, and neither draining nor gone
-        std::uint32_t round = 0;          // of the list that named it last
-        std::vector<proxy::Handle> idle;  // the one used last comes last
+        bool is_usable = false;           // listed, and neither draining nor removed
+        std::uint32_t last_update = 0;    // number of the last list update that named it
+        std::vector<proxy::Handle> idle;  // most recently used last
         std::vector<proxy::Handle> open;  // its connections, idle or not
     };
 
     Connection* connection_to(const proxy::EndpointId& id);
-    void forget_connections(Endpoint& endpoint);
-    void moved(const proxy::EndpointId& id, const std::string& from, const std::string& to);
+    void release_connections(Endpoint& endpoint);
+    void update_address_index(const proxy::EndpointId& id, const std::string& from, const std::string& to);
     void drop_predecessors(const proxy::DiscoveredEndpoint& successor);
-    void unlist(const proxy::EndpointId& id);
+    void remove_endpoint(const proxy::EndpointId& id);
     bool make_room();
-    void limit_resting(std::size_t most);
-    void note_reuse(proxy::Duration rested, bool good);
+    void close_idle_above(std::size_t max_connections);
+    void adapt_reuse_limit(proxy::Duration idle_time, bool good);
 
     Loop& loop_;
     proxy::RequestManager& gateway_;
     Bounds bounds_;
     std::unordered_map<proxy::EndpointId, Endpoint> endpoints_;
-    // Who has been listed at an address: one, but for a while where another has taken it over.
-    std::unordered_map<std::string, std::vector<proxy::EndpointId>> at_address_;
+    // Endpoints listed at an address: usually one, several while a new endpoint replaces an old one there.
+    std::unordered_map<std::string, std::vector<proxy::EndpointId>> ids_by_address_;
     proxy::SlotMap<Connection> connections_;
-    std::list<proxy::Handle> resting_;  // idle connections, the one that rests longest first
-    std::uint32_t round_ = 0;
+    std::list<proxy::Handle> idle_by_age_;  // idle connections, longest idle first
+    std::uint32_t update_number_ = 0;
     std::uint64_t tries_ = 0;
     bool retiring_ = false;
-    proxy::Duration reuse_within_;  // how long a connection may have rested to take another call
-    resp::Message message_;         // of the reply being read
+    proxy::Duration max_reuse_idle_;  // longest idle time after which a connection is reused
+    resp::Message message_;           // of the reply being read
 };
 
 }  // namespace linnetlead::net
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -1,4 +1,5 @@
-// Ever-new accounts: bounded memory, established ones served, and none that is light shut out for good.
+// The new-tenant limiter under a flood of new accounts: bounded memory, established accounts are served, and
+// a new account that keeps trying is admitted.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,59 +15,59 @@
 
 std::string name_of(std::uint64_t number) { return std::to_string(number); }
 
-TEST(NewTenantLimiter, AFloodOfNewAccountsIsBoundedAndTheEstablishedAreServed) {
-    NewTenantLimiter all(2000);
+TEST(NewTenantLimiter, BoundsAFloodOfNewAccountsAndServesEstablishedOnes) {
+    NewTenantLimiter limiter(2000);
     std::mt19937_64 random(1);
     std::uint64_t next = 1'000'000, asked = 0, served = 0, passed = 0;
     for (proxy::Timestamp now = 100s; now < 170s; now += 1ms) {
-        if (random() % 5 == 0) {  // 200 calls a second of 100 accounts
-            const bool good = all.passes(now, name_of(random() % 100));
+        if (random() % 5 == 0) {  // 200 requests per second from 100 accounts
+            const bool good = limiter.passes(now, name_of(random() % 100));
             if (now > 110s) ++asked, served += good;
         }
         if (now < 110s || now > 140s) continue;
-        for (int i = 0; i < 27; ++i) passed += all.passes(now, name_of(++next));
-        ASSERT_LE(all.accounts(), 2000u);
+        for (int i = 0; i < 27; ++i) passed += limiter.passes(now, name_of(++next));
+        ASSERT_LE(limiter.accounts(), 2000u);
         if (now > 111s) {
-            ASSERT_TRUE(all.crowded(now));
+            ASSERT_TRUE(limiter.is_limiting(now));
         }
     }
     EXPECT_EQ(served, asked);
-    // What filled the table, then a twentieth of 200 a second and five.
+    // What filled the table, then 1/20 of 200 per second plus five per second.
     EXPECT_LE(passed, 1800u + 30 * (10 + 5) + 20);
-    EXPECT_FALSE(all.crowded(170s));
-    EXPECT_TRUE(all.passes(170s, "new"));
-    EXPECT_GT(all.turned_away(), 700'000u);
+    EXPECT_FALSE(limiter.is_limiting(170s));
+    EXPECT_TRUE(limiter.passes(170s, "new"));
+    EXPECT_GT(limiter.turned_away(), 700'000u);
 }
 
-TEST(NewTenantLimiter, OneThatComesBackAgainAndAgainGetsInDuringAFlood) {
-    NewTenantLimiter all(2000);
+TEST(NewTenantLimiter, AdmitsAnAccountThatKeepsTryingDuringAFlood) {
+    NewTenantLimiter limiter(2000);
     std::uint64_t next = 1'000'000;
-    for (proxy::Timestamp now = 1s; now < 10s; now += 1ms) {  // some are established
-        if (now / 1ms % 10 == 0) all.passes(now, name_of(static_cast<std::uint64_t>(now / 10ms) % 50));
+    for (proxy::Timestamp now = 1s; now < 10s; now += 1ms) {  // establishes 50 accounts
+        if (now / 1ms % 10 == 0) limiter.passes(now, name_of(static_cast<std::uint64_t>(now / 10ms) % 50));
     }
     int passed_late = 0, late = 0;
     for (proxy::Timestamp now = 10s; now < 130s; now += 1ms) {
-        for (int i = 0; i < 3; ++i) all.passes(now, name_of(++next));
-        if (now / 1ms % 4 == 0) all.passes(now, name_of(static_cast<std::uint64_t>(now / 4ms) % 50));
+        for (int i = 0; i < 3; ++i) limiter.passes(now, name_of(++next));
+        if (now / 1ms % 4 == 0) limiter.passes(now, name_of(static_cast<std::uint64_t>(now / 4ms) % 50));
         if (now / 1ms % 500 == 0) {
-            const bool passes = all.passes(now, "keen");
+            const bool passes = limiter.passes(now, "persistent");
             if (now > 110s) ++late, passed_late += passes;
         }
     }
     EXPECT_EQ(passed_late, late);
 }
 
-TEST(NewTenantLimiter, ManyLightAccountsAreNoCrowd) {
-    NewTenantLimiter all(14'000);
+TEST(NewTenantLimiter, AdmitsManyAccountsWithFewRequestsEach) {
+    NewTenantLimiter limiter(14'000);
     std::mt19937_64 random(2);
     std::uint64_t rejected = 0;
     for (proxy::Timestamp now = 1s; now < 121s;
-         now += 2ms) {  // 500 calls a second, 1% of 100,000 accounts ask half
+         now += 2ms) {  // 500 requests per second; 1% of 100,000 accounts send half
         const std::uint64_t account = random() % 2 == 0 ? random() % 1000 : random() % 100'000;
-        rejected += !all.passes(now, name_of(account));
+        rejected += !limiter.passes(now, name_of(account));
     }
     EXPECT_EQ(rejected, 0u);
-    EXPECT_LT(all.accounts(), 14'000u);
+    EXPECT_LT(limiter.accounts(), 14'000u);
 }
 
 }  // namespace
--- a/tests/parser_test.cpp
+++ b/tests/parser_test.cpp
@@ -1,4 +1,5 @@
-// Tables of cases for what reads bytes: RESP2, commands, replies, HTTP, lists, the configuration.
+// Tables of cases for the parsers: RESP2, commands, replies, HTTP, endpoint lists, the configuration. Also
+// the outcome of an attempt and the timing wheel.
 #include <gtest/gtest.h>
 
 #include "net/http/http_message.h"
@@ -14,7 +15,7 @@
 using resp::Parsed;
 using namespace std::chrono_literals;
 
-TEST(Resp, ReadsMessagesFromTheStartOfABuffer) {
+TEST(Resp, ParsesMessageAtStartOfBuffer) {
     const std::string big(resp::kMaxBulk + 1, 'x');
     const struct {
         std::string in;
@@ -46,7 +47,7 @@
         {"*3\r\n$4194304\r\n", Parsed::kLongBulk, 0, 0},
         {"$4194305\r\n", Parsed::kMalformed, 0, 0},
         {"$3221225472\r\n", Parsed::kMalformed, 0, 0},
-        // Two values that fit one by one, but not the most that a buffer has to hold.
+        // Each value is within its bound, but together they exceed kMaxMessage.
         {"*2\r\n$65536\r\n" + big.substr(1) + "\r\n$65536\r\n", Parsed::kMalformed, 0, 0},
     };
     for (const auto& c : cases) {
@@ -84,63 +85,64 @@
     return out;
 }
 
-TEST(Resp, ReadsCallsAndSendsThemOnWithTheGatewaysWait) {
-    const std::string who = "00000000b4d65521", id = "9b1f03aa5c7e2d41";
+TEST(Resp, ParsesRequestsAndForwardsThemWithTheGatewaysWait) {
+    const std::string tenant = "00000000b4d65521", id = "9b1f03aa5c7e2d41";
     const struct {
         std::vector<std::string> words;
         const char* error;
         std::vector<std::string> sent_on;
     } cases[] = {
-        {{"Q.ASK", who, id, "c=read,t=team,d=480,units=2,spread=3,first=1"},
+        {{"Q.ASK", tenant, id, "c=read,t=team,d=480,units=2,spread=3,first=1"},
          nullptr,
-         {"Q.ASK", who, id, "c=read,t=team,d=77,units=2,spread=3,first=1"}},
-        {{"Q.DO", who, id, "d=9,c=hold,t=team,k=5c,units=2,new=x", "BODY"},
+         {"Q.ASK", tenant, id, "c=read,t=team,d=77,units=2,spread=3,first=1"}},
+        {{"Q.DO", tenant, id, "d=9,c=hold,t=team,k=5c,units=2,new=x", "BODY"},
          nullptr,
-         {"Q.DO", who, id, "d=77,c=hold,t=team,k=5c,units=2,new=x", "BODY"}},
-        {{"Q.DO", who, id}, "wrong number of arguments", {}},
+         {"Q.DO", tenant, id, "d=77,c=hold,t=team,k=5c,units=2,new=x", "BODY"}},
+        {{"Q.DO", tenant, id}, "wrong number of arguments", {}},
         {{"Q.DO", "b4d65521", id, "c=hold,t=team,d=9"}, "customer is not 16 hex digits below 2^33", {}},
         {{"Q.DO", "0000000200000000", id, "c=hold,t=team,d=9"},
          "customer is not 16 hex digits below 2^33",
          {}},
-        {{"Q.DO", who, id, "c=create,t=team,d=9"}, "no key", {}},
-        {{"Q.DO", who, "no id, no hex ..", "c=hold,t=team,d=9"}, "id is not 16 hex digits", {}},
-        {{"Q.DO", who, id, "c=hold,t=team"}, "bad d", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=-1"}, "bad d", {}},
-        {{"Q.DO", who, id, "c=none,t=team,d=9"}, "unknown class", {}},
-        {{"Q.DO", who, id, "c=hold,t=none,d=9"}, "unknown plan", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,units=nan"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,spread=0"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,spread=4"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,spread=2.5"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,first=3"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,first=99999999999999999999"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,units=0"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,units=1e12"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=9,units=-40"}, "bad number", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=0"}, "bad d", {}},
-        {{"Q.DO", who, id, "c=hold,t=team,d=99999999999999999999"}, "bad d", {}},
-        {{"Q.DO", who, id, "c=create,t=team,d=9,k=5c"}, "no key", {}},
-        {{"Q.DO", who, id, "c=hold,,d=9"}, "malformed names and values", {}},
-        {{"Q.ASK", who, id, "c=hold,t=team,d=9"}, "class does not go with this command", {}},
+        {{"Q.DO", tenant, id, "c=create,t=team,d=9"}, "no key", {}},
+        {{"Q.DO", tenant, "no id, no hex ..", "c=hold,t=team,d=9"}, "id is not 16 hex digits", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team"}, "bad d", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=-1"}, "bad d", {}},
+        {{"Q.DO", tenant, id, "c=none,t=team,d=9"}, "unknown class", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=none,d=9"}, "unknown plan", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,units=nan"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,spread=0"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,spread=4"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,spread=2.5"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,first=3"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,first=99999999999999999999"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,units=0"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,units=1e12"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=9,units=-40"}, "bad number", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=0"}, "bad d", {}},
+        {{"Q.DO", tenant, id, "c=hold,t=team,d=99999999999999999999"}, "bad d", {}},
+        {{"Q.DO", tenant, id, "c=create,t=team,d=9,k=5c"}, "no key", {}},
+        {{"Q.DO", tenant, id, "c=hold,,d=9"}, "malformed names and values", {}},
+        {{"Q.ASK", tenant, id, "c=hold,t=team,d=9"}, "class does not go with this command", {}},
     };
     const resp::Names names(three_classes());
     for (const auto& c : cases) {
         resp::Message message;
         const std::string in = command(c.words);
         ASSERT_EQ(resp::parse(in, message), Parsed::kWhole);
-        proxy::DownstreamRequest call;
-        const char* error = resp::read_call(message, names, 100s, call);
+        proxy::DownstreamRequest request;
+        const char* error = resp::read_request(message, names, 100s, request);
         EXPECT_STREQ(error, c.error);
         if (error || c.error) continue;
         std::string out;
-        resp::write_call(out, call.payload, 76500us);
+        resp::write_request(out, request.payload, 76500us);
         EXPECT_EQ(out, command(c.sent_on));
-        EXPECT_GT(call.request.due, 100s);
-        EXPECT_LT(call.request.due, 100s + 480ms);  // the answer still has its way to go
+        EXPECT_GT(request.request.due, 100s);
+        EXPECT_LT(request.request.due,
+                  100s + 480ms);  // less than the client's wait, since the answer needs time to arrive
     }
 }
 
-TEST(Resp, TellsEndpointsRepliesApart) {
+TEST(Resp, ClassifiesEndpointReplies) {
     const struct {
         std::string in;
         proxy::Ending ending;
@@ -162,7 +164,7 @@
         {"-ERR bad request\r\n", proxy::Ending::kError, "", 0, -1},
         {"*2\r\n$1\r\nv\r\n$-1\r\n", proxy::Ending::kBroken, "", 0, -1},
         {"*3\r\n:1\r\n$-1\r\n$-1\r\n", proxy::Ending::kBroken, "", 0, -1},
-        // What cannot be read beside the value spoils nothing.
+        // Unreadable fields beside the value are ignored.
         {"*3\r\n$1\r\nv\r\n$3\r\n%,=\r\n:7\r\n", proxy::Ending::kServed, "v", 0, -1},
         {"*3\r\n$1\r\nv\r\n$8\r\ncost=nan\r\n$10\r\ninflight=x\r\n", proxy::Ending::kServed, "v", 0, -1},
     };
@@ -175,15 +177,15 @@
         EXPECT_EQ(end.actual_units, c.units) << c.in;
         EXPECT_EQ(end.report.in_flight.value_or(-1), c.in_flight) << c.in;
     }
-    for (const char* hopeless :
+    for (const char* invalid :
          {"*1000000000\r\n", "*3\r\n*3\r\n", "*4\r\n", "*3\r\n$3000000000\r\nab", "*3\r\n:5\r\n"}) {
         resp::Message message;
-        const bool malformed = resp::parse(hopeless, message) == Parsed::kMalformed;
-        EXPECT_TRUE(malformed || !resp::may_become_reply(message)) << hopeless;
+        const bool malformed = resp::parse(invalid, message) == Parsed::kMalformed;
+        EXPECT_TRUE(malformed || !resp::may_become_reply(message)) << invalid;
     }
 }
 
-TEST(Attempt, ItsOutcomeFollowsFromHowFarItHadCome) {
+TEST(Attempt, OutcomeDependsOnStageReached) {
     using proxy::Ending;
     using proxy::Stage;
     const struct {
@@ -204,7 +206,7 @@
     }
 }
 
-TEST(Http, ReadsResponsesOneByOneHoweverTheyAreCut) {
+TEST(Http, ParsesConsecutiveResponsesSplitAtAnyPosition) {
     const std::string length = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[41]";
     const std::string chunks = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\n[42]\r\n0\r\n\r\n";
     const std::string both = length + chunks;
@@ -224,7 +226,7 @@
     EXPECT_EQ(http::ResponseReader().take("nonsense\r\n", taken), http::ResponseReader::State::kMalformed);
 }
 
-TEST(Http, ReadsLists) {
+TEST(Http, ParsesEndpointLists) {
     const auto list = http::read_list(
         R"({"version":43,"full":true,"servers":[{"id":"s-1","addr":"10.1.0.18:6379","zone":"a","kind":"m2",
         "cell":3,"state":"terminating","weight":1.5,"started_ms":7,"new":1},{"id":"s-2","state":"terminated"}]})");
@@ -244,7 +246,7 @@
     }
 }
 
-TEST(Config, FlattensNestedSettingsForTheOneReader) {
+TEST(Config, ReadsNestedSettings) {
     const auto config = server::read_config(
         R"({"name":"n3","seed":"1f","limits":{"memory_mb":64},"settings":{"balancers":3,"me":2,
         "classes":[{"name":"a b","aim":1000000,"idempotency":"dedup"},{"name":"c","late_worth":0.5}],
@@ -269,14 +271,14 @@
     }
 }
 
-TEST(TimingWheel, RunsTimersInTheOrderOfTheirTicksAndNoneThatIsDisarmed) {
+TEST(TimingWheel, RunsTimersInTickOrderAndSkipsDisarmed) {
     net::TimingWheel wheel(1000);
     std::vector<int> ran;
     const auto note = [&ran](int n) { return [&ran, n] { ran.push_back(n); }; };
     wheel.arm(1020, note(3));
     wheel.arm(1010, note(2));
-    wheel.arm(900, note(1));          // has passed: the next turn
-    wheel.arm(1010 + 4096, note(5));  // a round later, on the same spoke
+    wheel.arm(900, note(1));          // already past: runs at the next turn
+    wheel.arm(1010 + 4096, note(5));  // one revolution later, in the same slot
     wheel.arm(1000 + 3 * 4096, note(6));
     const auto never = wheel.arm(1020, note(-1));
     wheel.arm(1015, [&] {
@@ -295,7 +297,7 @@
     wheel.turn(1000 + 4 * 4096);
     EXPECT_EQ(ran.back(), 6);
     EXPECT_FALSE(wheel.next());
-    wheel.disarm(never);  // a stale handle misses
+    wheel.disarm(never);  // a stale handle has no effect
 }
 
 }  // namespace
