--- a/src/discovery/consul_source.cpp
+++ b/src/discovery/consul_source.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using policy::EndpointState;
 
-constexpr Duration kAnswerWithin = std::chrono::seconds(5);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(5);
 
 class Consul final : public Source {
 public:
@@ -22,12 +22,12 @@
         ask.method = "GET";
         ask.target = "/v1/kv/" + settings_.prefix + "?recurse=true";
         if (settings_.stale) ask.target += "&stale";
-        ask.silent = kAnswerWithin;
+        ask.silent = kAnswerTimeout;
         if (index_ > 0) {
             const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(settings_.wait).count();
             ask.target += "&index=" + std::to_string(index_) + "&wait=" + std::to_string(ms) + "ms";
-            // The server adds a sixteenth of the wait by chance.
-            ask.silent = settings_.wait + settings_.wait / 16 + kAnswerWithin;
+            // The server adds a random time of up to a sixteenth of the wait.
+            ask.silent = settings_.wait + settings_.wait / 16 + kAnswerTimeout;
         }
         return ask;
     }
@@ -46,20 +46,20 @@
             const bool lost = header("x-consul-knownleader") == "false";
             if (lost || (behind && std::chrono::milliseconds(*behind) > settings_.max_stale)) return false;
         }
-        if (*index == index_) return true;  // the wait is over, and nothing new
+        if (*index == index_) return true;  // the wait has ended without a change
         std::vector<DiscoveredEndpoint> entries;
-        if (response.status == kOk && !read_all(response.body, entries)) return false;
-        if (*index < newest_ && ++behind_ < kBelievedAfter) {
-            // Another server that is behind, or one that has lost its data: the next ones will show. What it
-            // wants drained is drained all the same.
+        if (response.status == kOk && !parse_entries(response.body, entries)) return false;
+        if (*index < newest_index_ && ++older_answers_ < kConfirmingAnswers) {
+            // The server lags behind or has lost its data; the next answers tell which. Its drains are
+            // applied in either case.
             ++counts_.resets;
-            tell_drains(entries);
+            report_drains(entries);
             index_ = 0;
             state_ = State::kListing;
             return false;
         }
-        behind_ = 0;
-        index_ = newest_ = *index;
+        older_answers_ = 0;
+        index_ = newest_index_ = *index;
         state_ = State::kWatching;
         ++counts_.wholes;
         if (told) told({true, std::move(entries)});
@@ -67,13 +67,13 @@
     }
 
     void broken() override {
-        // An index is good for any server of the same store; the next answer is the whole in any case.
+        // An index is valid for every server of the same store, and every answer is a complete list.
     }
 
 private:
-    static constexpr int kBelievedAfter = 4;  // answers in a row
+    static constexpr int kConfirmingAnswers = 4;  // consecutive answers with an older index
 
-    bool read_all(const std::string& body, std::vector<DiscoveredEndpoint>& entries) {
+    bool parse_entries(const std::string& body, std::vector<DiscoveredEndpoint>& entries) {
         const json all = json::parse(body, nullptr, false);
         if (!all.is_array()) return false;
         std::unordered_set<std::string> ids;
@@ -84,18 +84,18 @@
             const std::string& name = key->get_ref<const std::string&>();
             if (name.compare(0, settings_.prefix.size(), settings_.prefix) != 0) return false;
             const std::string id = name.substr(settings_.prefix.size());
-            if (id.empty() || value->is_null()) continue;  // the folder itself
+            if (id.empty() || value->is_null()) continue;  // the key of the prefix itself
             std::string text;
             DiscoveredEndpoint listed;
             if (!value->is_string() || !from_base64(value->get_ref<const std::string&>(), text)) text.clear();
             ids.insert(id);
-            if (read(id, text, listed)) entries.push_back(std::move(listed));
+            if (parse_entry(id, text, listed)) entries.push_back(std::move(listed));
         }
-        keep_values_of(ids);
+        retain_values(ids);
         return true;
     }
 
-    void tell_drains(const std::vector<DiscoveredEndpoint>& entries) {
+    void report_drains(const std::vector<DiscoveredEndpoint>& entries) {
         News news;
         for (const DiscoveredEndpoint& one : entries) {
             if (one.entry.state == EndpointState::kDraining) news.entries.push_back(one);
@@ -104,9 +104,9 @@
     }
 
     SourceSettings settings_;
-    std::uint64_t index_ = 0;   // asked for; 0: the whole, at once
-    std::uint64_t newest_ = 0;  // ever taken
-    int behind_ = 0;
+    std::uint64_t index_ = 0;         // of the next request; 0: the complete list, at once
+    std::uint64_t newest_index_ = 0;  // highest accepted index
+    int older_answers_ = 0;
 };
 
 }  // namespace
--- a/src/discovery/discovery_watch.h
+++ b/src/discovery/discovery_watch.h
@@ -1,28 +1,31 @@
-// Watches the registry: one HTTP connection to discovery, always with a call that waits for news. What is
-// asked for and when, ListPollSchedule says. After a call that failed (silent, broken, moved, no list, given
-// up) the whole list is asked for, without a wait; where that is refused, the changes from the version that
-// is held. A call that was refused (429, 503) is made again as it was, in a part of what all gateways may
-// ask. So a change binds 6 s after discovery had it and could be reached.
+// Watches the endpoint list of the discovery service over one HTTP connection; a long-poll request is always
+// outstanding. The gateway program owns the watch and passes it the port that receives the endpoint lists.
+// ListPollSchedule decides what is requested and when. After a failed request (timeout, lost connection, new
+// address, invalid list, abandoned request) the watch requests the complete list, without a wait for changes;
+// if that is rejected, it requests the changes since the version it has. A rejected request (429, 503) is
+// repeated unchanged, within this gateway's part of the retry budget of all gateways. A change takes effect
+// at most 6 s after discovery has it and can be reached.
 //
-// Longest from a change to its being asked for by a call that is answered at once, while discovery is reached
-// again as soon as the call at hand has failed. In seconds; the answer's own time, 1 at most, comes on top.
+// The table gives the longest time from a change until it is requested by a request that is answered at once,
+// if discovery can be reached again as soon as the current request has failed. Times are in seconds; the time
+// of the answer itself, at most 1 s, is added.
 //
-//   the call at hand                       asked for             pushed
-//   falls silent                           3 + 1 + 0.08          1 + 0.25
-//   drips its answer                       3 + 1 + 0.5 + 0.08    1 + 0.25 + 0.5
-//   is reset, answered with nonsense       0.08                  0.08
-//   breaks, again and again                1                     0.16
-//   is refused, again and again            1 (18 gateways) to    0.16
+//   current request                        polled                pushed
+//   times out                              3 + 1 + 0.08          1 + 0.25
+//   answer arrives too slowly              3 + 1 + 0.5 + 0.08    1 + 0.25 + 0.5
+//   reset, or invalid answer               0.08                  0.08
+//   connection lost repeatedly             1                     0.16
+//   rejected repeatedly                    1 (18 gateways) to    0.16
 //                                          4 (75 and more)
-//   never comes up                         1 + 1                 0.25
-//   falls silent again, without a wait     2 + 1                 0.25
-//   whole list that drips                  2 + 2 + 1             0.25 + 2
+//   connection is never established        1 + 1                 0.25
+//   times out again, without a wait        2 + 1                 0.25
+//   complete list arrives too slowly       2 + 2 + 1             0.25 + 2
 //
-// A long answer is read on a thread, and a long change told in slices, drains and what is gone first: of n
-// endpoints in n / 256 slices, 32 at most, each 2 ms behind the one before.
+// A long answer is parsed on a thread. A long change is passed on in slices, draining and removed endpoints
+// first: n endpoints in n / 256 slices, at most 32, 2 ms apart.
 //
-// While discovery lets in fewer calls than all gateways make, this is no bound: see "Lists that are refused"
-// in docs/measurements/acceptance.md.
+// These bounds do not hold while discovery admits fewer requests than all gateways send: see "Lists that are
+// refused" in docs/measurements/acceptance.md.
 #pragma once
 
 #include <cstdint>
@@ -40,50 +43,53 @@
 class DiscoveryWatch {
 public:
     using Pace = ListPollPace;
-    // Where the list is pushed to an agent beside the gateway, asking costs nothing, and what the agent holds
-    // counts as told however the watch stands; else every call costs the registry.
+    // For a list that is pushed to an agent next to the gateway: requests cost the registry nothing. The
+    // agent counts its list as delivered regardless of the watch, so the complete list is requested at the
+    // start.
     static constexpr Pace kPushed{std::chrono::seconds(1), std::chrono::milliseconds(250),
                                   proxy::Duration{0},      std::chrono::milliseconds(160),
                                   proxy::Duration{0},      true};
+    // For a list that is polled from the shared registry, where every request costs the registry.
     static constexpr Pace kAsked{std::chrono::seconds(3), std::chrono::seconds(1),
                                  std::chrono::milliseconds(80), std::chrono::seconds(1),
                                  std::chrono::seconds(4)};
 
-    // Goes on from the version that is known; below 0: from none. gateways: that ask the same registry. The
-    // seed spreads what is asked after breaks, so that they do not ask in step.
+    // Continues from `known_version`; a negative value means that no list is known. `gateways` is the number
+    // of gateways that poll the same registry. The seed varies the pauses after lost connections, so that the
+    // gateways do not reconnect in step.
     DiscoveryWatch(Loop& loop, proxy::EndpointListPort& lists, std::string address,
                    std::int64_t known_version, std::uint64_t seed, const Pace& pace, int gateways = 1);
     ~DiscoveryWatch();
-    // Returns false where the address is none.
+    // Returns false if the address is invalid.
     bool start();
-    // Goes over to another address, and asks there for the whole list: its versions may be others.
+    // Switches to another address and requests the complete list there, since its versions may differ.
     bool move(std::string address);
     void close();
-    bool is_reading() const { return reading_.busy(); }  // a long answer that has come whole
+    bool is_reading() const { return parsing_.busy(); }  // a long, complete answer is being parsed
 
 private:
     class Connection;
 
-    void hang_up();
+    void close_connections();
     void connect();
     void connect_after(proxy::Duration pause);
     bool apply(http::List list);
-    void tell_too_long();
-    // A body too long for the loop, of an answer on this connection.
-    void read_aside(proxy::Handle connection, std::string body);
-    std::string request() const;
+    void report_oversized_answer();
+    // Parses a body that is too long for the loop on a thread; `connection` received it.
+    void parse_on_thread(proxy::Handle connection, std::string body);
+    std::string format_request() const;
 
     Loop& loop_;
-    Background reading_;
-    ListUpdateSlicer slices_;
+    Background parsing_;
+    ListUpdateSlicer slicer_;
     std::string address_;
-    sockaddr_storage to_{};
+    sockaddr_storage socket_address_{};
     const Pace pace_;
-    ListPollSchedule calls_;
+    ListPollSchedule schedule_;
     proxy::SlotMap<Connection> connections_;
     proxy::Handle retry_;
     bool closed_ = false;
-    bool told_too_long_ = false;  // since the last list that was taken
+    bool oversize_reported_ = false;  // since the last accepted list
 };
 
 }  // namespace linnetlead::net
--- a/src/discovery/endpoint_set.cpp
+++ b/src/discovery/endpoint_set.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using policy::EndpointState;
-constexpr Duration kOneMoment = std::chrono::seconds(5);
+constexpr Duration kRemovalWindow = std::chrono::seconds(5);
 
 }  // namespace
 
@@ -19,51 +19,51 @@
 }
 
 void EndpointSet::whole(Timestamp now, const std::vector<DiscoveredEndpoint>& entries) {
-    ++round_;
+    ++list_number_;
     for (const DiscoveredEndpoint& listed : entries) {
         if (listed.entry.state == EndpointState::kRemoved) continue;
-        put(listed);
+        upsert(listed);
         Endpoint& endpoint = endpoints_.at(listed.entry.id);
-        if (endpoint.round == round_) ++duplicates_;
-        endpoint.round = round_;
+        if (endpoint.list_number == list_number_) ++duplicates_;
+        endpoint.list_number = list_number_;
     }
     std::vector<std::string> gone;
     for (const auto& [id, endpoint] : endpoints_) {
-        if (endpoint.round != round_) gone.push_back(id);
+        if (endpoint.list_number != list_number_) gone.push_back(id);
     }
-    std::sort(gone.begin(), gone.end());  // one order, whatever the table's
-    take_away(now, gone);
+    std::sort(gone.begin(), gone.end());  // independent of the hash table's order
+    remove_or_retain(now, gone);
 }
 
 void EndpointSet::changes(Timestamp now, const std::vector<DiscoveredEndpoint>& entries) {
     std::vector<std::string> gone;
     for (const DiscoveredEndpoint& listed : entries) {
         if (listed.entry.state != EndpointState::kRemoved) {
-            put(listed);
+            upsert(listed);
             gone.erase(std::remove(gone.begin(), gone.end(), listed.entry.id), gone.end());
         } else if (endpoints_.count(listed.entry.id) > 0) {
             gone.push_back(listed.entry.id);
         }
     }
-    take_away(now, gone);
+    remove_or_retain(now, gone);
 }
 
-void EndpointSet::put(const DiscoveredEndpoint& listed) {
-    held_.erase(listed.entry.id);
-    out_.erase(listed.entry.id);
+void EndpointSet::upsert(const DiscoveredEndpoint& listed) {
+    retained_.erase(listed.entry.id);
+    removed_.erase(listed.entry.id);
     const auto [at, fresh] = endpoints_.try_emplace(listed.entry.id);
     Endpoint& endpoint = at->second;
     if (!fresh && same(endpoint.listed, listed)) return;
-    // A drain, and whatever ends the use of an address.
+    // Drains and changes that end the use of an address go first.
     const bool urgent = listed.entry.state != EndpointState::kInService ||
                         (!fresh && (endpoint.listed.address != listed.address ||
                                     endpoint.listed.entry.started != listed.entry.started));
     endpoint.listed = listed;
-    queue(at->first, endpoint, urgent);
+    enqueue(at->first, endpoint, urgent);
 }
 
-// An id waits once in either queue; what it is told with is what it is then.
-void EndpointSet::queue(const std::string& id, Endpoint& endpoint, bool urgent) {
+// An id may be in both queues, but is reported once, with its state at that time.
+void EndpointSet::enqueue(const std::string& id, Endpoint& endpoint, bool urgent) {
     if (urgent) {
         urgent_.push_back(id);
     } else if (!endpoint.queued) {
@@ -72,47 +72,48 @@
     endpoint.queued = true;
 }
 
-void EndpointSet::take_away(Timestamp now, const std::vector<std::string>& gone_ones) {
-    if (now - moment_ >= kOneMoment) {
-        moment_ = now;
-        size_then_ = endpoints_.size();
-        gone_since_ = 0;
+void EndpointSet::remove_or_retain(Timestamp now, const std::vector<std::string>& ids) {
+    if (now - window_start_ >= kRemovalWindow) {
+        window_start_ = now;
+        size_at_window_start_ = endpoints_.size();
+        removed_in_window_ = 0;
     }
     std::size_t fresh = 0;
-    for (const std::string& id : gone_ones) fresh += held_.count(id) == 0;
-    const auto most = static_cast<std::size_t>(settings_.max_gone * static_cast<double>(size_then_));
-    const bool too_many = size_then_ > settings_.few && settings_.hold > Duration{0} &&
-                          gone_since_ + fresh + held_.size() > most;
-    for (const std::string& id : gone_ones) {
+    for (const std::string& id : ids) fresh += retained_.count(id) == 0;
+    const auto most =
+        static_cast<std::size_t>(settings_.max_gone * static_cast<double>(size_at_window_start_));
+    const bool too_many = size_at_window_start_ > settings_.few && settings_.hold > Duration{0} &&
+                          removed_in_window_ + fresh + retained_.size() > most;
+    for (const std::string& id : ids) {
         if (too_many) {
-            held_.try_emplace(id, now);
-        } else if (held_.count(id) == 0) {
-            ++gone_since_;
-            gone(id);
+            retained_.try_emplace(id, now);
+        } else if (retained_.count(id) == 0) {
+            ++removed_in_window_;
+            remove(id);
         }
     }
 }
 
 bool EndpointSet::tick(Timestamp now) {
     std::vector<std::string> due;
-    for (const auto& [id, since] : held_) {
+    for (const auto& [id, since] : retained_) {
         if (now - since >= settings_.hold) due.push_back(id);
     }
     std::sort(due.begin(), due.end());
     for (const std::string& id : due) {
-        held_.erase(id);
-        gone(id);
+        retained_.erase(id);
+        remove(id);
     }
     return !due.empty();
 }
 
-void EndpointSet::gone(const std::string& id) {
+void EndpointSet::remove(const std::string& id) {
     const auto at = endpoints_.find(id);
     if (at == endpoints_.end()) return;
     DiscoveredEndpoint out = std::move(at->second.listed);
     out.entry.state = EndpointState::kRemoved;
     endpoints_.erase(at);
-    out_[id] = std::move(out);
+    removed_[id] = std::move(out);
     urgent_.push_back(id);
 }
 
@@ -122,9 +123,9 @@
         while (!from.empty() && slice.size() < most) {
             const std::string id = std::move(from.front());
             from.pop_front();
-            if (const auto out = out_.find(id); out != out_.end()) {
+            if (const auto out = removed_.find(id); out != removed_.end()) {
                 slice.push_back(std::move(out->second));
-                out_.erase(out);
+                removed_.erase(out);
                 continue;
             }
             const auto at = endpoints_.find(id);
--- a/src/discovery/endpoint_set.h
+++ b/src/discovery/endpoint_set.h
@@ -1,9 +1,10 @@
-// The list of endpoints as a set with differences. Whatever a registry tells, whole or in changes, comes out
-// as what has changed, in slices, so that no consumer holds up the loop; drains and what is gone come first.
+// The endpoint list as a set that yields differences. A registry reports complete lists or changes; the set
+// yields what has changed, in slices, so that no consumer blocks the loop. Draining and removed endpoints
+// come first. RegistryClient owns one.
 //
-// Guards against a registry that has lost its data: where a whole list, or the changes of a moment, would
-// take away more than a stated part of the endpoints, those stay for a stated time first. A drain is never
-// held. No I/O, no clock.
+// Guards against a registry that has lost its data: if a complete list, or the changes within a few seconds,
+// would remove more than a given share of the endpoints, they are retained for a given time first. A drain is
+// never delayed. The set does no I/O and reads no clock.
 #pragma once
 
 #include <deque>
@@ -22,51 +23,52 @@
 class EndpointSet {
 public:
     struct Settings {
-        double max_gone = 0.5;                     // of the endpoints, at once
-        Duration hold = std::chrono::seconds(30);  // so long they stay
-        std::size_t few = 4;                       // endpoints or less are never held
+        double max_gone = 0.5;                     // largest share of the endpoints removed at once
+        Duration hold = std::chrono::seconds(30);  // how long endpoints above that share are retained
+        std::size_t few = 4;                       // a set of at most this size retains none
     };
     explicit EndpointSet(Settings settings) : settings_(settings) {}
 
-    // The list as it is now. Of several entries of one id the last one counts.
+    // Replaces the list. If an id occurs several times, its last entry applies.
     void whole(Timestamp now, const std::vector<DiscoveredEndpoint>& entries);
-    // What has changed; an entry in state out is gone.
+    // Applies changes; an entry in state kRemoved removes the endpoint.
     void changes(Timestamp now, const std::vector<DiscoveredEndpoint>& entries);
-    // Lets go what has been held for long enough. True: something was.
+    // Removes the endpoints that have been retained long enough; returns true if there were any.
     bool tick(Timestamp now);
 
-    // The next of what has changed, so many at most; empty: all was handed over.
+    // Takes the next changes, at most `most`; empty if there are none left.
     std::vector<DiscoveredEndpoint> next(std::size_t most);
     bool pending() const { return !urgent_.empty() || !queue_.empty(); }
 
     std::size_t size() const { return endpoints_.size(); }
-    std::size_t held() const { return held_.size(); }
+    std::size_t held() const { return retained_.size(); }
     std::uint64_t duplicates() const { return duplicates_; }
-    // As it will be told, for a comparison.
+    // All endpoints, sorted by id.
     std::vector<DiscoveredEndpoint> all() const;
 
 private:
     struct Endpoint {
         DiscoveredEndpoint listed;
-        std::uint64_t round = 0;  // of the whole list that named it last
+        std::uint64_t list_number = 0;  // number of the last complete list that contains it
         bool queued = false;
     };
-    void put(const DiscoveredEndpoint& listed);
-    void take_away(Timestamp now, const std::vector<std::string>& gone);
-    void gone(const std::string& id);
-    void queue(const std::string& id, Endpoint& endpoint, bool urgent);
+    void upsert(const DiscoveredEndpoint& listed);
+    void remove_or_retain(Timestamp now, const std::vector<std::string>& gone);
+    void remove(const std::string& id);
+    void enqueue(const std::string& id, Endpoint& endpoint, bool urgent);
 
     Settings settings_;
     std::unordered_map<std::string, Endpoint> endpoints_;
-    std::unordered_map<std::string, DiscoveredEndpoint> out_;  // gone, not yet told
+    std::unordered_map<std::string, DiscoveredEndpoint> removed_;  // removed, not yet reported
     std::deque<std::string> urgent_, queue_;
-    std::unordered_map<std::string, Timestamp> held_;  // since when
-    std::uint64_t round_ = 0, duplicates_ = 0;
-    // Gone one by one within a moment, against the size that the moment began with.
-    Timestamp moment_{};
-    std::size_t size_then_ = 0, gone_since_ = 0;
+    std::unordered_map<std::string, Timestamp> retained_;  // retained since
+    std::uint64_t list_number_ = 0, duplicates_ = 0;
+    // Removals within the current time window, and the size at its start.
+    Timestamp window_start_{};
+    std::size_t size_at_window_start_ = 0, removed_in_window_ = 0;
 };
 
+// Whether all listed properties are equal.
 bool same(const DiscoveredEndpoint& a, const DiscoveredEndpoint& b);
 
 }  // namespace linnetlead::discovery
--- a/src/discovery/etcd_source.cpp
+++ b/src/discovery/etcd_source.cpp
@@ -11,17 +11,17 @@
 using nlohmann::json;
 using policy::EndpointState;
 
-constexpr Duration kAnswerWithin = std::chrono::seconds(5);
+constexpr Duration kAnswerTimeout = std::chrono::seconds(5);
 
-// The gateway writes 64-bit numbers as texts.
-std::int64_t number_of(const json& from, const char* name) {
+// etcd's JSON gateway writes 64-bit numbers as strings.
+std::int64_t read_number(const json& from, const char* name) {
     const auto at = from.find(name);
     if (at == from.end()) return 0;
     if (at->is_number_integer()) return at->get<std::int64_t>();
     return at->is_string() ? config::parse<std::int64_t>(at->get_ref<const std::string&>()).value_or(-1) : -1;
 }
 
-bool is_true(const json& from, const char* name) {
+bool has_true(const json& from, const char* name) {
     const auto at = from.find(name);
     return at != from.end() && at->is_boolean() && at->get<bool>();
 }
@@ -29,31 +29,32 @@
 class Etcd final : public Source {
 public:
     explicit Etcd(SourceSettings settings) : settings_(std::move(settings)) {
-        // The end of all keys with the prefix: its last byte, one higher.
-        end_ = settings_.prefix;
-        while (!end_.empty() && static_cast<unsigned char>(end_.back()) == 0xff) end_.pop_back();
-        if (end_.empty()) {
-            end_.assign(1, '\0');
+        // The end of the key range of a prefix is the prefix with its last byte incremented.
+        range_end_ = settings_.prefix;
+        while (!range_end_.empty() && static_cast<unsigned char>(range_end_.back()) == 0xff)
+            range_end_.pop_back();
+        if (range_end_.empty()) {
+            range_end_.assign(1, '\0');
         } else {
-            ++end_.back();
+            ++range_end_.back();
         }
     }
 
     Ask ask() override {
         Ask ask;
         ask.method = "POST";
-        json body{{"range_end", to_base64(end_)}};
+        json body{{"range_end", to_base64(range_end_)}};
         if (state_ == State::kListing) {
             ask.target = "/v3/kv/range";
-            ask.silent = kAnswerWithin;
-            body["key"] = to_base64(from_.empty() ? settings_.prefix : from_);
+            ask.silent = kAnswerTimeout;
+            body["key"] = to_base64(next_key_.empty() ? settings_.prefix : next_key_);
             body["limit"] = std::to_string(settings_.page);
-            // All pages as of one revision.
+            // All pages are read at the same revision.
             if (page_revision_ > 0) body["revision"] = std::to_string(page_revision_);
         } else {
             ask.target = "/v3/watch";
             ask.stream = true;
-            // Silence says nothing of whether the stream still lives: it is begun anew from where it was.
+            // A stream without messages may be dead: it is reopened from the known revision.
             ask.silent = settings_.wait;
             body["key"] = to_base64(settings_.prefix);
             body["start_revision"] = std::to_string(revision_ + 1);
@@ -67,29 +68,30 @@
     bool take(const Response& response, bool& ask_again) override {
         const json answer = json::parse(response.body, nullptr, false);
         if (!answer.is_object()) return false;
-        return state_ == State::kListing ? take_page(response.status, answer, ask_again)
-                                         : take_message(response.status, answer, ask_again);
+        return state_ == State::kListing ? handle_page(response.status, answer, ask_again)
+                                         : handle_message(response.status, answer, ask_again);
     }
 
     void broken() override {
         fragments_.clear();
-        newest_ = 0;
+        newest_revision_ = 0;
         if (state_ == State::kListing) start_listing();
     }
 
 private:
-    static constexpr int kBelievedAfter = 4;  // answers in a row
+    static constexpr int kConfirmingAnswers = 4;  // in a row, of an older revision or another cluster
 
     void start_listing() {
         state_ = State::kListing;
-        from_.clear();
+        next_key_.clear();
         page_revision_ = 0;
         listed_.clear();
         ids_.clear();
         fragments_.clear();
     }
 
-    // Another cluster's revisions say nothing of what is known: its whole list is read, once it is believed.
+    // Revisions of another cluster cannot be compared with the known one. Its complete list is read after
+    // several consecutive answers from it.
     bool is_foreign(const json& header) {
         const auto id = header.find("cluster_id");
         if (id == header.end()) return false;
@@ -98,21 +100,21 @@
         if (cluster == cluster_) return false;
         ++counts_.resets;
         start_listing();
-        if (++behind_ < kBelievedAfter) return true;
+        if (++older_answers_ < kConfirmingAnswers) return true;
         cluster_ = cluster;
         revision_ = 0;
         return true;
     }
 
-    bool take_page(int status, const json& answer, bool& ask_again) {
+    bool handle_page(int status, const json& answer, bool& ask_again) {
         constexpr int kOk = 200;
         const auto header = answer.find("header");
         if (status != kOk || header == answer.end() || !header->is_object()) {
-            // Also where the pages' revision was compacted between two of them.
+            // This also happens if the revision of the pages was compacted between two of them.
             start_listing();
             return false;
         }
-        const std::int64_t now = number_of(*header, "revision");
+        const std::int64_t now = read_number(*header, "revision");
         if (now <= 0) return start_listing(), false;
         if (is_foreign(*header)) return false;
         if (page_revision_ == 0) page_revision_ = now;
@@ -120,18 +122,18 @@
         if (const auto kvs = answer.find("kvs"); kvs != answer.end()) {
             if (!kvs->is_array()) return start_listing(), false;
             for (const json& kv : *kvs) {
-                if (!read_pair(kv, last, false, listed_)) return start_listing(), false;
+                if (!parse_pair(kv, last, false, listed_)) return start_listing(), false;
             }
         }
-        if (is_true(answer, "more")) {
+        if (has_true(answer, "more")) {
             if (last.empty()) return start_listing(), false;
-            from_ = last + '\0';  // the least key behind it
+            next_key_ = last + '\0';  // the smallest key after it
             ask_again = true;
             return true;
         }
-        if (page_revision_ < revision_ && ++behind_ < kBelievedAfter) {
-            // A member that is behind, or a store put back to an older state: the next answers will show.
-            // What it wants drained is drained all the same.
+        if (page_revision_ < revision_ && ++older_answers_ < kConfirmingAnswers) {
+            // The member lags behind, or the store was restored to an older state; the next answers tell
+            // which. Its drains are applied in either case.
             ++counts_.resets;
             News drains;
             for (const DiscoveredEndpoint& one : listed_) {
@@ -141,9 +143,9 @@
             if (told && !drains.entries.empty()) told(drains);
             return false;
         }
-        behind_ = 0;
+        older_answers_ = 0;
         revision_ = page_revision_;
-        keep_values_of(ids_);
+        retain_values(ids_);
         News news{true, std::move(listed_)};
         start_listing();
         state_ = State::kWatching;
@@ -153,29 +155,29 @@
         return true;
     }
 
-    bool take_message(int status, const json& answer, bool& ask_again) {
+    bool handle_message(int status, const json& answer, bool& ask_again) {
         constexpr int kOk = 200;
         const auto result = answer.find("result");
         if (status != kOk || result == answer.end() || !result->is_object()) return false;
         const auto header = result->find("header");
         const std::int64_t now =
-            header != result->end() && header->is_object() ? number_of(*header, "revision") : 0;
+            header != result->end() && header->is_object() ? read_number(*header, "revision") : 0;
         if (header != result->end() && header->is_object() && is_foreign(*header)) return false;
-        if (const std::int64_t compacted = number_of(*result, "compact_revision"); compacted > 0) {
+        if (const std::int64_t compacted = read_number(*result, "compact_revision"); compacted > 0) {
             ++counts_.compactions;
             start_listing();
             ask_again = true;
             return true;
         }
-        if (is_true(*result, "canceled")) return false;
-        if (is_true(*result, "created")) {
+        if (has_true(*result, "canceled")) return false;
+        if (has_true(*result, "created")) {
             if (now >= revision_) {
-                behind_ = 0;
+                older_answers_ = 0;
                 return true;
             }
-            // It would wait for a revision that is to come: nothing would be heard till then.
+            // This member would send nothing until it reaches the requested revision.
             ++counts_.resets;
-            if (++behind_ >= kBelievedAfter - 1) start_listing();
+            if (++older_answers_ >= kConfirmingAnswers - 1) start_listing();
             return false;
         }
         const auto events = result->find("events");
@@ -189,22 +191,22 @@
             if (!event.is_object() || kv == event.end()) return false;
             const bool gone = event.value("type", json("PUT")) == json("DELETE");
             std::string key;
-            if (!read_pair(*kv, key, gone, fragments_)) return false;
-            const std::int64_t changed = number_of(*kv, "mod_revision");
-            // What is older than what is known was told before.
+            if (!parse_pair(*kv, key, gone, fragments_)) return false;
+            const std::int64_t changed = read_number(*kv, "mod_revision");
+            // Older changes were already reported.
             if (changed <= revision_) return false;
-            newest_ = std::max(newest_, changed);
+            newest_revision_ = std::max(newest_revision_, changed);
         }
-        if (is_true(*result, "fragment")) return true;
+        if (has_true(*result, "fragment")) return true;
         News news{false, std::move(fragments_)};
         fragments_.clear();
-        revision_ = std::max(revision_, std::exchange(newest_, 0));
+        revision_ = std::max(revision_, std::exchange(newest_revision_, 0));
         counts_.changes += news.entries.size();
         if (told && !news.entries.empty()) told(news);
         return true;
     }
 
-    bool read_pair(const json& kv, std::string& key, bool gone, std::vector<DiscoveredEndpoint>& into) {
+    bool parse_pair(const json& kv, std::string& key, bool gone, std::vector<DiscoveredEndpoint>& into) {
         if (!kv.is_object()) return false;
         const auto coded = kv.find("key"), value = kv.find("value");
         if (coded == kv.end() || !coded->is_string()) return false;
@@ -225,18 +227,18 @@
                                 from_base64(value->get_ref<const std::string&>(), text);
         if (!coded_well) text.clear();
         ids_.insert(id);
-        if (read(id, text, listed)) into.push_back(std::move(listed));
+        if (parse_entry(id, text, listed)) into.push_back(std::move(listed));
         return true;
     }
 
     SourceSettings settings_;
-    std::string end_;
-    std::int64_t revision_ = 0;  // all up to it is known
-    std::int64_t newest_ = 0;    // in the fragments in hand
-    int behind_ = 0;
+    std::string range_end_;
+    std::int64_t revision_ = 0;         // all changes up to it are known
+    std::int64_t newest_revision_ = 0;  // in the collected fragments
+    int older_answers_ = 0;
     std::string cluster_;
-    // The list being read.
-    std::string from_;
+    // State of the listing in progress.
+    std::string next_key_;
     std::int64_t page_revision_ = 0;
     std::vector<DiscoveredEndpoint> listed_;
     std::unordered_set<std::string> ids_;
--- a/src/discovery/list_poll_schedule.cpp
+++ b/src/discovery/list_poll_schedule.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-constexpr Duration kFirstPause = 80ms;  // a watch goes on if the next call comes within 200 ms
-// A turn is drawn, or those refused in one moment would ask in one moment ever after.
-constexpr double kShortestTurn = 2.0 / 3, kLongestTurn = 4.0 / 3;
-constexpr double kMaxBudget = 2;  // calls at once: a refusal by chance costs no turn
+// The registry continues a watch if the next request arrives within 200 ms.
+constexpr Duration kFirstPause = 80ms;
+// Each retry interval is varied at random; otherwise gateways rejected at the same time would retry in step
+// for good.
+constexpr double kMinIntervalFactor = 2.0 / 3, kMaxIntervalFactor = 4.0 / 3;
+constexpr double kMaxRetryTokens = 2;  // requests in a burst: an occasional rejection costs no interval
 
 Duration scaled(Duration span, double by) { return std::chrono::duration_cast<Duration>(span * by); }
 
@@ -23,100 +25,104 @@
                                    int gateways)
     : pace_(pace),
       version_(known_version),
-      doubtful_(pace.told_at_start),
-      turn_(std::clamp(scaled(Duration(1s), std::max(gateways, 1) / kFleetRetries), kFirstPause,
-                       std::max(kFirstPause, scaled(pace.longest_rejection, 1 / kLongestTurn)))),
-      budget_(kMaxBudget),
+      may_have_missed_changes_(pace.told_at_start),
+      retry_interval_(
+          std::clamp(scaled(Duration(1s), std::max(gateways, 1) / kFleetRetriesPerS), kFirstPause,
+                     std::max(kFirstPause, scaled(pace.longest_rejection, 1 / kMaxIntervalFactor)))),
+      retry_tokens_(kMaxRetryTokens),
       random_(seed) {}
 
-ListPollSchedule::Kind ListPollSchedule::next() const {
-    if (version_ < 0) return Kind::kWhole;
-    if (!doubtful_) return Kind::kWatch;
-    // The whole list is dear, and the registry answers for its versions: what it names as newer is all that
-    // was missed.
-    return whole_denied_ ? Kind::kChanges : Kind::kWhole;
+ListPollSchedule::Kind ListPollSchedule::next_kind() const {
+    if (version_ < 0) return Kind::kCompleteList;
+    if (!may_have_missed_changes_) return Kind::kWatch;
+    // A complete list is expensive for the registry. The registry's versions are reliable, so the changes
+    // since the known version contain everything that was missed.
+    return complete_list_failed_ ? Kind::kChanges : Kind::kCompleteList;
 }
 
-// A call that is given up while it stands in line is work for nothing, and the next one stands behind it. So
-// a call that has to stand there gets twice the time, a new watch at the cost of its wait: its silence is
-// noticed no later.
+// A request that is abandoned while it is queued at the registry still costs work there, and the next one
+// queues behind it. A request that has to queue therefore gets twice the time. A new watch gets it at the
+// cost of its wait, so that its timeout is noticed no later.
 Duration ListPollSchedule::wait() const {
-    if (next() != Kind::kWatch) return Duration{0};
-    return is_shared() && !goes_on_ ? std::max(Duration{0}, pace_.wait - pace_.answer) : pace_.wait;
+    if (next_kind() != Kind::kWatch) return Duration{0};
+    return is_shared() && !continues_watch_ ? std::max(Duration{0}, pace_.wait - pace_.answer_timeout)
+                                            : pace_.wait;
 }
 
-Duration ListPollSchedule::answer_within() const {
-    if (next() == Kind::kWatch) return pace_.wait + pace_.answer;
-    return pace_.answer * (is_shared() ? 2 : 1);
+Duration ListPollSchedule::answer_timeout() const {
+    if (next_kind() == Kind::kWatch) return pace_.wait + pace_.answer_timeout;
+    return pace_.answer_timeout * (is_shared() ? 2 : 1);
 }
 
-bool ListPollSchedule::listed(std::int64_t version, bool full) {
+bool ListPollSchedule::record_list(std::int64_t version, bool full) {
     if (!full && (version_ < 0 || version < version_)) return false;
-    goes_on_ = next() != Kind::kWhole;
+    continues_watch_ = next_kind() != Kind::kCompleteList;
     version_ = version;
-    doubtful_ = whole_denied_ = false;
+    may_have_missed_changes_ = complete_list_failed_ = false;
     failures_ = rejections_ = 0;
     return true;
 }
 
-Duration ListPollSchedule::broken() {
-    doubtful_ = true;  // news may have been missed, and may be by a watch that goes on from here
-    whole_denied_ = goes_on_ = false;
-    // Guards a registry that comes back against all gateways at once and in step: the first pause keeps the
-    // watch, further ones double and are spread.
+Duration ListPollSchedule::record_disconnect() {
+    // Changes may have been missed, and a watch that continues from this version would miss them, too.
+    may_have_missed_changes_ = true;
+    complete_list_failed_ = continues_watch_ = false;
+    // Keeps the gateways from reaching a recovering registry all at once: the first pause is short enough to
+    // continue the watch, further pauses double and are varied at random.
     const int doubled = std::min(failures_++, 4);
-    const Duration pause = std::min<Duration>(pace_.longest_pause, kFirstPause * (1 << doubled));
+    const Duration pause = std::min<Duration>(pace_.max_pause, kFirstPause * (1 << doubled));
     return doubled == 0 ? pause : scaled(pause, std::uniform_real_distribution<double>(0.5, 1)(random_));
 }
 
-Duration ListPollSchedule::nonsense() {
+Duration ListPollSchedule::record_invalid_answer() {
     version_ = -1;
-    return broken();
+    return record_disconnect();
 }
 
-Duration ListPollSchedule::silent() {
-    const bool denied = is_shared() && next() == Kind::kWhole;
-    doubtful_ = true;
-    const Duration pause = pace_.after_silence > Duration{0} ? broken() : Duration{0};
-    whole_denied_ = denied;
+Duration ListPollSchedule::record_timeout() {
+    const bool denied = is_shared() && next_kind() == Kind::kCompleteList;
+    may_have_missed_changes_ = true;
+    const Duration pause = pace_.after_silence > Duration{0} ? record_disconnect() : Duration{0};
+    complete_list_failed_ = denied;
     return pause;
 }
 
-Duration ListPollSchedule::rejected(Timestamp now, Duration retry_after) {
-    if (!is_shared()) return nonsense();
-    // Nothing was missed by a call that did not begin: the version stands, and what was in doubt before is
-    // in doubt still.
-    if (next() == Kind::kWhole) whole_denied_ = true;
-    goes_on_ = false;
-    // All are refused in one moment: the first pause spreads them, further ones grow.
-    const Duration longest = std::min(pace_.longest_rejection, std::max(pace_.longest_pause, turn_));
+Duration ListPollSchedule::record_rejection(Timestamp now, Duration retry_after) {
+    if (!is_shared()) return record_invalid_answer();
+    // A rejected request has missed no change: the version stays, and so does any earlier doubt about it.
+    if (next_kind() == Kind::kCompleteList) complete_list_failed_ = true;
+    continues_watch_ = false;
+    // All gateways are rejected at about the same time: the first pause spreads them, further pauses grow.
+    const Duration longest = std::min(pace_.longest_rejection, std::max(pace_.max_pause, retry_interval_));
     const bool first = rejections_ == 0;
     const Duration most = std::min<Duration>(
-        longest, std::max<Duration>(kFirstPause, turn_ / 2) * (1 << std::min(rejections_++, 6)));
+        longest, std::max<Duration>(kFirstPause, retry_interval_ / 2) * (1 << std::min(rejections_++, 6)));
     const Duration drawn = scaled(most, std::uniform_real_distribution<double>(first ? 0 : 0.5, 1)(random_));
-    const Duration pause = std::max({kFirstPause, drawn, until_budget(now)});
+    const Duration pause = std::max({kFirstPause, drawn, take_retry_token(now)});
     if (retry_after + pause <= pace_.longest_rejection) return retry_after + pause;
-    // And not in one moment at the end of it, either.
+    // Spreads the gateways at the end of a long Retry-After, too.
     return scaled(pace_.longest_rejection, std::uniform_real_distribution<double>(0.75, 1)(random_));
 }
 
-// Counted over calls that succeed in between, too: a list that comes at last is no leave to begin anew.
-Duration ListPollSchedule::until_budget(Timestamp now) {
-    const double turns =
-        std::chrono::duration<double>(now - filled_at_) / std::chrono::duration<double>(turn_);
-    budget_ = std::min(kMaxBudget, budget_ + std::max(0.0, turns)) - 1;
-    filled_at_ = now;
-    if (budget_ >= 0) return Duration{0};
-    const Duration until = scaled(
-        turn_, -budget_ * std::uniform_real_distribution<double>(kShortestTurn, kLongestTurn)(random_));
-    filled_at_ += until;
-    budget_ = 0;  // by then
+// Requests that succeed in between do not reset the budget; otherwise alternating lists and rejections would
+// be repeated without a pause.
+Duration ListPollSchedule::take_retry_token(Timestamp now) {
+    const double intervals =
+        std::chrono::duration<double>(now - refilled_at_) / std::chrono::duration<double>(retry_interval_);
+    retry_tokens_ = std::min(kMaxRetryTokens, retry_tokens_ + std::max(0.0, intervals)) - 1;
+    refilled_at_ = now;
+    if (retry_tokens_ >= 0) return Duration{0};
+    const Duration until =
+        scaled(retry_interval_, -retry_tokens_ * std::uniform_real_distribution<double>(
+                                                     kMinIntervalFactor, kMaxIntervalFactor)(random_));
+    refilled_at_ += until;
+    retry_tokens_ = 0;  // at the end of the pause
     return until;
 }
 
-void ListPollSchedule::moved() {
+void ListPollSchedule::record_new_registry() {
     version_ = -1;
-    whole_denied_ = goes_on_ = false;
+    complete_list_failed_ = continues_watch_ = false;
     failures_ = rejections_ = 0;
 }
 
--- a/src/discovery/list_update_slicer.cpp
+++ b/src/discovery/list_update_slicer.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Of an id that is named twice the later entry holds, so that none may pass another then.
-bool each_once(const std::vector<DiscoveredEndpoint>& entries) {
+// If an id occurs twice, the later entry applies, so entries must not be reordered.
+bool has_unique_ids(const std::vector<DiscoveredEndpoint>& entries) {
     std::unordered_set<std::string_view> ids;
     return std::all_of(entries.begin(), entries.end(),
                        [&](const DiscoveredEndpoint& one) { return ids.insert(one.entry.id).second; });
@@ -21,44 +21,44 @@
 
 }  // namespace
 
-void ListUpdateSlicer::whole(const std::vector<DiscoveredEndpoint>& entries) {
-    tell(entries_.size());
+void ListUpdateSlicer::pass_complete_list(const std::vector<DiscoveredEndpoint>& entries) {
+    pass_slice(entries_.size());
     lists_.listed(EndpointListKind::kComplete, entries);
 }
 
-void ListUpdateSlicer::changes(std::vector<DiscoveredEndpoint> entries) {
-    tell(entries_.size());
-    if (entries.size() > kLeast && each_once(entries)) {
+void ListUpdateSlicer::pass_changes(std::vector<DiscoveredEndpoint> entries) {
+    pass_slice(entries_.size());
+    if (entries.size() > kMinSliceSize && has_unique_ids(entries)) {
         std::stable_partition(entries.begin(), entries.end(), [](const DiscoveredEndpoint& one) {
             return one.entry.state != EndpointState::kInService;
         });
     }
     entries_ = std::move(entries);
-    slice_ = std::max(kLeast, (entries_.size() + kMaxSlices - 1) / kMaxSlices);
-    go_on();
+    slice_size_ = std::max(kMinSliceSize, (entries_.size() + kMaxSlices - 1) / kMaxSlices);
+    pass_next_slice();
 }
 
-void ListUpdateSlicer::drop() {
-    loop_.disarm(std::exchange(next_, {}));
+void ListUpdateSlicer::discard() {
+    loop_.disarm(std::exchange(timer_, {}));
     entries_ = {};
-    told_ = 0;
+    passed_count_ = 0;
 }
 
-// The next so many. All are told: nothing is kept of them.
-void ListUpdateSlicer::tell(std::size_t most) {
+// Passes the next entries on, at most `most`; frees the memory after the last one.
+void ListUpdateSlicer::pass_slice(std::size_t most) {
     if (!pending()) return;
-    const auto begin = entries_.begin() + static_cast<std::ptrdiff_t>(told_);
-    const std::size_t size = std::min(most, entries_.size() - told_);
+    const auto begin = entries_.begin() + static_cast<std::ptrdiff_t>(passed_count_);
+    const std::size_t size = std::min(most, entries_.size() - passed_count_);
     const std::vector<DiscoveredEndpoint> slice(
         std::make_move_iterator(begin), std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(size)));
-    told_ += size;
-    if (!pending()) drop();
+    passed_count_ += size;
+    if (!pending()) discard();
     lists_.listed(EndpointListKind::kChanges, slice);
 }
 
-void ListUpdateSlicer::go_on() {
-    tell(slice_);
-    if (pending()) next_ = loop_.arm(loop_.now() + kEvery, [this] { go_on(); });
+void ListUpdateSlicer::pass_next_slice() {
+    pass_slice(slice_size_);
+    if (pending()) timer_ = loop_.arm(loop_.now() + kSliceInterval, [this] { pass_next_slice(); });
 }
 
 }  // namespace linnetlead::net
--- a/src/discovery/list_update_slicer.h
+++ b/src/discovery/list_update_slicer.h
@@ -1,5 +1,6 @@
-// A long change of the list, told in slices with turns of the loop between, so that calls are not held up by
-// what thousands of endpoints cost at once. What ends the use of endpoints comes first.
+// Passes a long change of the endpoint list on in slices, with turns of the loop in between, so that
+// thousands of endpoints do not delay requests. Draining and removed endpoints come first. DiscoveryWatch
+// uses it; RegistryClient uses its slice size and interval.
 #pragma once
 
 #include <vector>
@@ -10,33 +11,33 @@
 
 class ListUpdateSlicer {
 public:
-    static constexpr std::size_t kLeast = 256;  // endpoints
-    static constexpr proxy::Duration kEvery = std::chrono::milliseconds(2);
-    // Each slice costs a look at the whole list besides, so that there are so many at most.
+    static constexpr std::size_t kMinSliceSize = 256;  // endpoints
+    static constexpr proxy::Duration kSliceInterval = std::chrono::milliseconds(2);
+    // Every slice also costs a pass over the complete list, which limits the number of slices.
     static constexpr std::size_t kMaxSlices = 32;
 
     ListUpdateSlicer(Loop& loop, proxy::EndpointListPort& lists) : loop_(loop), lists_(lists) {}
-    ~ListUpdateSlicer() { drop(); }
+    ~ListUpdateSlicer() { discard(); }
     ListUpdateSlicer(const ListUpdateSlicer&) = delete;
     ListUpdateSlicer& operator=(const ListUpdateSlicer&) = delete;
 
-    // What is left of an earlier change is told before it, at once.
-    void whole(const std::vector<proxy::DiscoveredEndpoint>& entries);
-    void changes(std::vector<proxy::DiscoveredEndpoint> entries);
-    bool pending() const { return told_ < entries_.size(); }
-    // What is left is told to nobody any more.
-    void drop();
+    // Both pass the rest of an earlier change on first, at once.
+    void pass_complete_list(const std::vector<proxy::DiscoveredEndpoint>& entries);
+    void pass_changes(std::vector<proxy::DiscoveredEndpoint> entries);
+    bool pending() const { return passed_count_ < entries_.size(); }
+    // Discards the rest of the change.
+    void discard();
 
 private:
-    void tell(std::size_t most);
-    void go_on();
+    void pass_slice(std::size_t most);
+    void pass_next_slice();
 
     Loop& loop_;
     proxy::EndpointListPort& lists_;
-    std::vector<proxy::DiscoveredEndpoint> entries_;  // as long as the answer that they came in
-    std::size_t told_ = 0;                            // of them
-    std::size_t slice_ = kLeast;
-    proxy::Handle next_;
+    std::vector<proxy::DiscoveredEndpoint> entries_;  // of the current change
+    std::size_t passed_count_ = 0;                    // number of entries passed on
+    std::size_t slice_size_ = kMinSliceSize;
+    proxy::Handle timer_;
 };
 
 }  // namespace linnetlead::net
--- a/src/discovery/registry_client.h
+++ b/src/discovery/registry_client.h
@@ -1,9 +1,10 @@
-// Drives a discovery::Source over HTTP/1.1 and hands what has changed to the core in slices. One connection
-// at a time, to one of several endpoints; another one after a failure, after a pause that grows and is drawn
-// by chance, so that a thousand gateways that lose the same endpoint do not come back together.
+// Runs a discovery::Source over HTTP/1.1 and passes the changes on to the endpoint list port in slices. The
+// operator service owns the client. It has one connection at a time, to one of several endpoints. After a
+// failure it connects to the next one, after a growing, random pause, so that a thousand gateways that lose
+// the same endpoint do not reconnect at once.
 //
-// Long answers are read on a thread of libuv's, so that the loop does not wait; source and roster belong to
-// that thread meanwhile.
+// Long answers are parsed on a thread of libuv's pool, so that the loop does not block; meanwhile only that
+// thread may use the source and the endpoint set.
 #pragma once
 
 #include <uv.h>
@@ -26,31 +27,31 @@
 public:
     struct Settings {
         std::string kind;                    // "consul" or "etcd"; empty: none
-        std::vector<std::string> endpoints;  // host:port, in figures
+        std::vector<std::string> endpoints;  // host:port, numeric
         std::string token;
         discovery::SourceSettings source;
         discovery::EndpointSet::Settings endpoint_set;
-        std::string snapshot;  // path; empty: none is kept
+        std::string snapshot;  // path; empty: no snapshot is stored
         proxy::Duration snapshot_age = std::chrono::hours(24);
         bool operator==(const Settings& other) const;
     };
-    using Tell = std::function<void(const std::string& event, const std::string& what)>;
+    using Report = std::function<void(const std::string& event, const std::string& what)>;
 
     RegistryClient(Loop& loop, proxy::EndpointListPort& lists, Settings settings, std::uint64_t seed,
-                   Tell tell);
+                   Report report);
     ~RegistryClient();
     RegistryClient(const RegistryClient&) = delete;
     RegistryClient& operator=(const RegistryClient&) = delete;
 
     void start();
-    // Another registry, or other keys: what is held stays until the new one's whole list shows the
-    // difference.
+    // Switches to another registry or other keys. The known endpoints stay until the new registry's complete
+    // list shows the difference.
     void change(Settings settings);
     void close();
 
     struct State {
         std::string endpoint;
-        bool watching = false;  // the whole is known
+        bool watching = false;  // the complete list is known
         std::size_t endpoints = 0, held = 0;
         std::uint64_t failures = 0, wholes = 0, changes = 0, resets = 0, compactions = 0, bad_values = 0;
         double longest_slice_ms = 0;
@@ -59,36 +60,37 @@
 
 private:
     class Connection;
-    // What a thread may work on while the loop goes on; outlives the client, should that go first.
-    struct Desk {
+    // State that a parsing thread uses while the loop runs. Shared, since the thread may outlive the client.
+    struct SharedState {
         std::unique_ptr<discovery::Source> source;
         discovery::EndpointSet endpoint_set;
-        proxy::Timestamp now{};  // of the message in hand
+        proxy::Timestamp now{};  // when the current message arrived
         std::vector<std::pair<std::string, std::string>> events;
-        explicit Desk(discovery::EndpointSet::Settings settings) : endpoint_set(settings) {}
+        explicit SharedState(discovery::EndpointSet::Settings settings) : endpoint_set(settings) {}
     };
     void load_snapshot();
-    void keep_snapshot();
+    void save_snapshot();
     void make_source();
     void connect();
-    void ask();
-    void failed();
-    void take(discovery::Response response);
-    void taken(bool good, bool ask_again);
-    void tell_events();
+    void send_request();
+    void handle_failure();
+    void handle_response(discovery::Response response);
+    // Reports the events of a response and decides what follows; applies new settings, if there are any.
+    void finish_response(bool good, bool ask_again);
+    void report_events();
     void tick();
 
     Loop& loop_;
     proxy::EndpointListPort& lists_;
     Settings settings_;
-    Tell tell_;
+    Report report_;
     std::mt19937_64 random_;
-    std::shared_ptr<Desk> desk_;
-    std::unique_ptr<Settings> next_;  // to change over to, once the job in hand is done
-    Background reading_;
-    Background keeping_;  // a snapshot on its way to the disk
-    proxy::Timestamp keep_at_{};
-    bool unkept_ = false;  // the list has changed since it was kept
+    std::shared_ptr<SharedState> shared_;
+    std::unique_ptr<Settings> next_settings_;  // applied when the current job ends
+    Background parsing_;
+    Background saving_;  // writes a snapshot
+    proxy::Timestamp next_snapshot_at_{};
+    bool snapshot_outdated_ = false;  // the list has changed since the last snapshot
     proxy::SlotMap<Connection> connections_;
     proxy::Handle connection_, retry_, timer_;
     proxy::Timestamp asked_at_{};
--- a/src/discovery/registry_snapshot.cpp
+++ b/src/discovery/registry_snapshot.cpp
@@ -18,7 +18,7 @@
 
 std::string encode_snapshot(const Snapshot& snapshot) {
     std::string text =
-        json{{"made_ms", snapshot.made / 1ms}, {"workers", snapshot.entries.size()}}.dump() + '\n';
+        json{{"made_ms", snapshot.created_at / 1ms}, {"workers", snapshot.entries.size()}}.dump() + '\n';
     for (const DiscoveredEndpoint& one : snapshot.entries) {
         const auto& entry = one.entry;
         using policy::EndpointState;
@@ -42,24 +42,24 @@
     if (!whole) return tl::unexpected(whole.error());
     const std::string& text = *whole;
     Snapshot snapshot;
-    std::size_t wanted = 0;
+    std::size_t expected_count = 0;
     for (std::size_t at = 0, number = 0; at < text.size(); ++number) {
         const auto end = std::min(text.find('\n', at), text.size());
         const std::string one = text.substr(at, end - at);
         at = end + 1;
         const json read = json::parse(one, nullptr, false);
-        if (!read.is_object()) return damaged("it holds a line that is none");
+        if (!read.is_object()) return damaged("a line is not a JSON object");
         if (number == 0) {
-            snapshot.made = std::chrono::milliseconds(read.value("made_ms", std::int64_t{0}));
-            wanted = read.value("workers", std::size_t{0});
+            snapshot.created_at = std::chrono::milliseconds(read.value("made_ms", std::int64_t{0}));
+            expected_count = read.value("workers", std::size_t{0});
             continue;
         }
         DiscoveredEndpoint listed;
-        if (!read_value(read.value("id", ""), one, listed).empty()) return damaged("it holds a bad worker");
+        if (!read_value(read.value("id", ""), one, listed).empty()) return damaged("an endpoint is invalid");
         snapshot.entries.push_back(std::move(listed));
     }
-    if (snapshot.entries.size() != wanted) return damaged("workers are missing in it");
-    if (now - snapshot.made > max_age) return fail(ErrorCode::kFailedPrecondition, "it is too old");
+    if (snapshot.entries.size() != expected_count) return damaged("endpoints are missing");
+    if (now - snapshot.created_at > max_age) return fail(ErrorCode::kFailedPrecondition, "it is too old");
     return snapshot;
 }
 
--- a/src/discovery/registry_snapshot.h
+++ b/src/discovery/registry_snapshot.h
@@ -11,7 +11,7 @@
 namespace linnetlead::discovery {
 
 struct Snapshot {
-    policy::Timestamp made{};
+    policy::Timestamp created_at{};
     std::vector<proxy::DiscoveredEndpoint> entries;
 };
 // The bytes of a checksummed file of the snapshot.
--- a/src/discovery/registry_source.h
+++ b/src/discovery/registry_source.h
@@ -1,10 +1,11 @@
-// The client of a key-value registry, as a machine: what to ask next, and what an answer means. Two published
-// protocols stand behind it. It holds no connection and reads no clock; whoever drives it sends each Ask and
-// gives back what came.
+// The protocol state machine of a key-value registry client: it says what to request next and interprets the
+// answers. There are implementations for Consul and etcd. It has no connection and reads no clock;
+// net::RegistryClient sends each Ask and passes the responses in.
 //
-// States: listing (the whole is being read, perhaps in pages), watching (the whole is known, and what changes
-// is waited for), and from either: broken (ask again from what is known), compacted or reset (what is known
-// is too old: list anew, and the difference shows what was missed).
+// States: listing (the complete list is read, possibly in pages) and watching (the complete list is known,
+// and changes are awaited). After a lost connection it continues from what is known. After a compaction or a
+// reset of the store, the known revision is too old: it lists again, and the difference shows what was
+// missed.
 #pragma once
 
 #include <cstdint>
@@ -24,17 +25,18 @@
 using proxy::DiscoveredEndpoint;
 
 struct SourceSettings {
-    std::string prefix;                        // of the keys; an endpoint's id is what follows it
+    std::string prefix;                        // of the keys; the rest of a key is the endpoint id
     Duration wait = std::chrono::seconds(20);  // of a blocking read
-    bool stale = false;                        // any server may answer, not the leader alone
+    bool stale = false;                        // any server may answer, not only the leader
     Duration max_stale = std::chrono::seconds(10);
-    std::size_t page = 1000;  // entries of a page
+    std::size_t page = 1000;  // entries per page
 };
 
+// A request to the registry.
 struct Ask {
     std::string method, target, body;
-    Duration silent{};    // the longest that nothing may come
-    bool stream = false;  // the body is a row of messages, each ended by a line's end, and none is the last
+    Duration silent{};    // longest time without received data
+    bool stream = false;  // the response body is an endless sequence of lines, one message each
 };
 
 struct Response {
@@ -53,10 +55,11 @@
     virtual ~Source() = default;
     State state() const { return state_; }
     virtual Ask ask() = 0;
-    // False: the answer is none; back off and ask again, perhaps elsewhere. `ask_again`: set where the
-    // stream in hand is of no more use and ask() is to be sent at once.
+    // Processes a response. Returns false if it is unusable: the caller backs off and asks again, possibly
+    // another endpoint. Sets `ask_again` if the current stream is of no further use and the result of ask()
+    // has to be sent at once.
     virtual bool take(const Response& response, bool& ask_again) = 0;
-    // The connection ended, or another endpoint is asked from now on.
+    // The connection ended, or another endpoint is used from now on.
     virtual void broken() = 0;
 
     std::function<void(const News&)> told;
@@ -67,21 +70,22 @@
     const Counts& counts() const { return counts_; }
 
 protected:
-    // One key and its value. False: the value is bad, and what was known before stands.
-    bool read(const std::string& id, const std::string& value, DiscoveredEndpoint& into);
-    void forget_value(const std::string& id) { last_good_.erase(id); }
-    void keep_values_of(const std::unordered_set<std::string>& ids);
+    // Parses the value of one key. An invalid value is reported once and replaced by the last valid one;
+    // returns false if there is none.
+    bool parse_entry(const std::string& id, const std::string& value, DiscoveredEndpoint& into);
+    void forget_value(const std::string& id) { last_valid_.erase(id); }
+    void retain_values(const std::unordered_set<std::string>& ids);
 
     State state_ = State::kListing;
     Counts counts_;
 
 private:
-    struct Good {
+    struct LastValid {
         DiscoveredEndpoint listed;
-        std::size_t bad_hash = 0;  // of the bad value that was told last
-        bool any = false;
+        std::size_t bad_hash = 0;  // of the invalid value that was reported last
+        bool has_value = false;
     };
-    std::unordered_map<std::string, Good> last_good_;
+    std::unordered_map<std::string, LastValid> last_valid_;
 };
 
 // Consul's KV store: blocking reads by index
@@ -93,7 +97,7 @@
 std::string to_base64(std::string_view bytes);
 bool from_base64(std::string_view text, std::string& bytes);
 // An endpoint's value: {"addr": "...", "zone": ..., "kind": ..., "cell": ..., "weight": ..., "state": ...,
-// "started_ms": ...}. In words what is wrong; empty: nothing.
+// "started_ms": ...}. Returns a description of the error, empty if the value is valid.
 std::string read_value(const std::string& id, const std::string& value, DiscoveredEndpoint& into);
 
 }  // namespace linnetlead::discovery
--- a/src/discovery/registry_value.cpp
+++ b/src/discovery/registry_value.cpp
@@ -32,13 +32,13 @@
 })json";
 
 const valijson::Schema& schema() {
-    static const valijson::Schema* const kMade = [] {
+    static const valijson::Schema* const kSchema = [] {
         static const json kText = json::parse(kSchemaText);
         auto* const parsed = new valijson::Schema;
         valijson::SchemaParser().populateSchema(valijson::adapters::NlohmannJsonAdapter(kText), *parsed);
         return parsed;
     }();
-    return *kMade;
+    return *kSchema;
 }
 
 }  // namespace
@@ -60,7 +60,7 @@
     try {
         bytes.assign(Iterator(text.begin()), Iterator(text.end()));
     } catch (const std::exception&) {
-        return false;  // a character of no meaning
+        return false;  // an invalid character
     }
     bytes.resize(size);
     return true;
@@ -68,7 +68,7 @@
 
 std::string read_value(const std::string& id, const std::string& value, DiscoveredEndpoint& into) {
     const json read = json::parse(value, nullptr, false);
-    if (read.is_discarded()) return "no JSON";
+    if (read.is_discarded()) return "not valid JSON";
     valijson::ValidationResults results;
     valijson::Validator validator;
     if (!validator.validate(schema(), valijson::adapters::NlohmannJsonAdapter(read), &results)) {
@@ -94,24 +94,24 @@
     return {};
 }
 
-void Source::keep_values_of(const std::unordered_set<std::string>& ids) {
-    for (auto at = last_good_.begin(); at != last_good_.end();) {
-        at = ids.count(at->first) > 0 ? std::next(at) : last_good_.erase(at);
+void Source::retain_values(const std::unordered_set<std::string>& ids) {
+    for (auto at = last_valid_.begin(); at != last_valid_.end();) {
+        at = ids.count(at->first) > 0 ? std::next(at) : last_valid_.erase(at);
     }
 }
 
-bool Source::read(const std::string& id, const std::string& value, DiscoveredEndpoint& into) {
-    Good& good = last_good_[id];
+bool Source::parse_entry(const std::string& id, const std::string& value, DiscoveredEndpoint& into) {
+    LastValid& last_valid = last_valid_[id];
     const std::string wrong = read_value(id, value, into);
     if (wrong.empty()) {
-        good = {into, 0, true};
+        last_valid = {into, 0, true};
         return true;
     }
     ++counts_.bad;
     const std::size_t hash = std::hash<std::string>()(value) | 1;
-    if (std::exchange(good.bad_hash, hash) != hash && bad_value) bad_value(id, wrong);
-    if (good.any) into = good.listed;
-    return good.any;
+    if (std::exchange(last_valid.bad_hash, hash) != hash && bad_value) bad_value(id, wrong);
+    if (last_valid.has_value) into = last_valid.listed;
+    return last_valid.has_value;
 }
 
 }  // namespace linnetlead::discovery
--- a/tests/long_list_test.cpp
+++ b/tests/long_list_test.cpp
@@ -1,4 +1,4 @@
-// A list of endpoints that is longer than the gateway reads.
+// An endpoint list that exceeds the size limit of the gateway.
 #include "net/http/http_message.h"
 #include "rig.h"
 
@@ -7,9 +7,8 @@
 
 using namespace tests;
 
-// Guards against a gateway whose list stands still in silence: it serves by an old one, and hears of no
-// drain.
-TEST(LongList, OneOverTheBoundIsTold) {
+// Guards against a gateway that keeps an old list without a message and so misses drains.
+TEST(LongList, AnswerOverTheSizeLimitIsReported) {
     Listener endpoint, discovery;
     Program program(config_of(discovery, discovery, endpoint.address()));
     program.listening();
--- a/tests/registry_test.cpp
+++ b/tests/registry_test.cpp
@@ -1,5 +1,5 @@
-// The registry client: the list as a set with differences, both protocols' machines through every fault in
-// virtual time, and the whole client on sockets with a real gateway behind it.
+// The registry client: the endpoint set and its differences, the state machines of both protocols under
+// faults in virtual time, and the complete client on sockets with real gateways.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -41,27 +41,27 @@
     return all;
 }
 
-TEST(EndpointSet, TellsOnlyWhatChangedDrainsFirstInSlices) {
+TEST(EndpointSet, YieldsOnlyChangesInSlicesDrainsFirst) {
     EndpointSet endpoint_set({0.9, 30s, 4});
     endpoint_set.whole(0s, {endpoint("a"), endpoint("b"), endpoint("c"), endpoint("d"),
                             endpoint("b", EndpointState::kInService, 81)});
     EXPECT_EQ(endpoint_set.duplicates(), 1u);
-    EXPECT_EQ(ids_of(endpoint_set.next(3)), "b a c ");  // the second one's address is another
+    EXPECT_EQ(ids_of(endpoint_set.next(3)), "b a c ");  // the second entry of b has another address
     endpoint_set.whole(1s, {endpoint("a"), endpoint("b", EndpointState::kInService, 81),
                             endpoint("c", EndpointState::kDraining), endpoint("e"), endpoint("d")});
-    EXPECT_EQ(ids_of(endpoint_set.next(2)), "c~ d ");  // a drain goes before what came before
+    EXPECT_EQ(ids_of(endpoint_set.next(2)), "c~ d ");  // a drain overtakes earlier changes
     EXPECT_EQ(ids_of(endpoint_set.next(9)), "e ");
     endpoint_set.whole(
         2s, {endpoint("a"), endpoint("b", EndpointState::kInService, 82), endpoint("e"), endpoint("d")});
-    EXPECT_EQ(ids_of(endpoint_set.next(9)), "b c- ");  // another address, and gone
+    EXPECT_EQ(ids_of(endpoint_set.next(9)), "b c- ");  // another address, and a removal
     endpoint_set.whole(
         3s, {endpoint("a"), endpoint("b", EndpointState::kInService, 82), endpoint("e"), endpoint("d")});
     EXPECT_FALSE(endpoint_set.pending());
-    endpoint_set.changes(4s, {endpoint("f"), endpoint("f", EndpointState::kRemoved)});  // within one message
+    endpoint_set.changes(4s, {endpoint("f"), endpoint("f", EndpointState::kRemoved)});  // in one message
     EXPECT_EQ(ids_of(endpoint_set.next(9)), "f- ");
 }
 
-TEST(EndpointSet, HoldsWhatARegistryThatLostItsDataWouldTakeAwayButNoDrain) {
+TEST(EndpointSet, RetainsEndpointsAfterDataLossButAppliesDrains) {
     EndpointSet endpoint_set({0.5, 30s, 4});
     std::vector<proxy::DiscoveredEndpoint> all;
     for (int i = 0; i < 10; ++i) all.push_back(endpoint(std::to_string(i)));
@@ -73,10 +73,10 @@
     endpoint_set.changes(11s, {endpoint("3", EndpointState::kDraining)});
     EXPECT_EQ(ids_of(endpoint_set.next(9)), "3~ ");
     EXPECT_FALSE(endpoint_set.tick(39s));
-    endpoint_set.whole(39s, {all[0], all[1], all[2]});  // some are back
+    endpoint_set.whole(39s, {all[0], all[1], all[2]});  // some return
     EXPECT_TRUE(endpoint_set.tick(41s));
-    EXPECT_EQ(endpoint_set.size(), 4u);  // they, and the one that had been told since
-    // One by one within a moment it is the same.
+    EXPECT_EQ(endpoint_set.size(), 4u);  // these, and the one reported as draining meanwhile
+    // The limit also applies to single removals within a few seconds.
     for (int i = 0; i < 10; ++i) all[static_cast<std::size_t>(i)].entry.id = "x" + std::to_string(i);
     endpoint_set.changes(60s, all);
     endpoint_set.next(100);
@@ -91,7 +91,7 @@
     EXPECT_EQ(endpoint_set.held(), 0u);
 }
 
-TEST(Registry, BadValuesSpoilTheirEndpointAloneAndAreToldOnce) {
+TEST(Registry, RejectsInvalidValuesAndDecodesBase64) {
     proxy::DiscoveredEndpoint into;
     EXPECT_EQ(discovery::read_value("a", R"({"addr":"127.0.0.1:80","state":"terminating","cell":3})", into),
               "");
@@ -110,8 +110,9 @@
     EXPECT_FALSE(discovery::from_base64("abc", bytes));
 }
 
-// Breaks amid answers, compactions in and beside them, a second server that lags, bad values put right.
-TEST(Registry, NoChangeIsMissedThroughBreaksAndCompactions) {
+// Faults: connections lost during answers, compactions during and between them, a second server that lags
+// behind, and invalid values that are corrected later.
+TEST(Registry, MissesNoChangeThroughDisconnectsAndCompactions) {
     for (const KvProtocol protocol : {KvProtocol::kConsul, KvProtocol::kEtcd}) {
         std::uint64_t compactions = 0, changes = 0;
         for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -132,7 +133,7 @@
     }
 }
 
-TEST(Registry, AStoreThatLostItsDataIsBelievedAfterAWhileAndNeverForADay) {
+TEST(Registry, AcceptsAStoreThatLostItsDataWithinSeconds) {
     for (const KvProtocol protocol : {KvProtocol::kConsul, KvProtocol::kEtcd}) {
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
             test_support::KvRunSettings settings;
@@ -148,9 +149,9 @@
 
 // ---- On sockets -----------------------------------------------------------------------------------------
 
-struct Installation {
-    explicit Installation(KvProtocol kind, int count = 2)
-        : protocol(kind), town([] {
+struct RegistryFixture {
+    explicit RegistryFixture(KvProtocol kind, int count = 2)
+        : protocol(kind), platform([] {
               test_support::FakePlatformSettings settings;
               settings.program = LINNETLEAD_PROGRAM;
               settings.gateways = 2;
@@ -160,20 +161,20 @@
           }()) {
         for (int i = 0; i < 4; ++i) {
             const std::string id = "w" + std::to_string(i);
-            town.add_endpoint(id, "std", {}).figures.cores = 4;
-            store.put("sites/a/" + id, endpoint_value(town.endpoint_address(id)));
+            platform.add_endpoint(id, "std", {}).figures.cores = 4;
+            store.put("sites/a/" + id, endpoint_value(platform.endpoint_address(id)));
         }
         for (int i = 0; i < count; ++i) {
-            servers.push_back(std::make_unique<KvServer>(town.loop(), store, protocol));
+            servers.push_back(std::make_unique<KvServer>(platform.loop(), store, protocol));
         }
-        town.settings().operators = operators();
+        platform.settings().operators = operators();
     }
-    ~Installation() {
-        town.load(false);
-        town.kill(0);
-        town.kill(1);
+    ~RegistryFixture() {
+        platform.load(false);
+        platform.kill(0);
+        platform.kill(1);
         for (auto& server : servers) server->close();
-        for (auto& server : others) server->close();
+        for (auto& server : other_servers) server->close();
     }
     std::string operators() const {
         std::string text = std::string("registry(\"") + (protocol == KvProtocol::kEtcd ? "etcd" : "consul") +
@@ -181,104 +182,108 @@
         for (const auto& server : servers) text += "\"" + server->address() + "\", ";
         return text + "])\n";
     }
-    void tell() {
+    void notify() {
         for (auto& server : servers) server->tell();
     }
     void drain(const std::string& id) {
-        store.put("sites/a/" + id, endpoint_value(town.endpoint_address(id), "terminating"));
-        town.list(id, test_support::FakePlatform::Stage::kTerminating);  // for the auditor's clock
-        tell();
+        store.put("sites/a/" + id, endpoint_value(platform.endpoint_address(id), "terminating"));
+        // The audit has to know the time of the drain.
+        platform.list(id, test_support::FakePlatform::Stage::kTerminating);
+        notify();
     }
     KvProtocol protocol;
     KvStore store;
-    std::vector<std::unique_ptr<KvServer>> servers, others;  // the town's loop lets go of them
-    test_support::FakePlatform town;
+    // The loop of the fake platform uses them until it ends, so they have to outlive it.
+    std::vector<std::unique_ptr<KvServer>> servers, other_servers;
+    test_support::FakePlatform platform;
 };
 
 class RegistryOnSockets : public ::testing::TestWithParam<KvProtocol> {};
 INSTANTIATE_TEST_SUITE_P(Both, RegistryOnSockets, ::testing::Values(KvProtocol::kConsul, KvProtocol::kEtcd),
                          [](const auto& one) { return one.param == KvProtocol::kEtcd ? "Etcd" : "Consul"; });
 
-TEST_P(RegistryOnSockets, ADrainIsHonouredAndEveryFaultOfTheServersIsSurvived) {
-    Installation here(GetParam());
-    here.town.start();
-    here.town.run_for(600ms);
-    here.town.load(true);
-    here.town.run_for(1s);
-    EXPECT_GT(here.town.audit.served, 20u);
-    here.drain("w0");
-    here.town.run_for(1200ms);
+TEST_P(RegistryOnSockets, AppliesDrainsAndKeepsServingThroughServerFaults) {
+    RegistryFixture fixture(GetParam());
+    fixture.platform.start();
+    fixture.platform.run_for(600ms);
+    fixture.platform.load(true);
+    fixture.platform.run_for(1s);
+    EXPECT_GT(fixture.platform.audit.served, 20u);
+    fixture.drain("w0");
+    fixture.platform.run_for(1200ms);
     using Mood = KvServer::Mood;
     for (const Mood mood :
          {Mood::kRubbish, Mood::kCut, Mood::kError, Mood::kSilent, Mood::kRefusing, Mood::kEndless}) {
-        here.servers[0]->mood = mood;
-        here.servers[0]->break_all();
-        const auto served = here.town.audit.served;
-        here.town.run_for(700ms);
-        EXPECT_GT(here.town.audit.served, served + 10) << static_cast<int>(mood);  // the list stands
+        fixture.servers[0]->mood = mood;
+        fixture.servers[0]->break_all();
+        const auto served = fixture.platform.audit.served;
+        fixture.platform.run_for(700ms);
+        EXPECT_GT(fixture.platform.audit.served, served + 10) << static_cast<int>(mood);  // the list is kept
     }
-    here.servers[0]->mood = Mood::kWell;
-    // An endpoint is drained and another comes while nobody can be reached, with a compaction in the break.
-    for (auto& server : here.servers) {
+    fixture.servers[0]->mood = Mood::kWell;
+    // An endpoint drains and another is added while no server can be reached; the store is compacted
+    // meanwhile.
+    for (auto& server : fixture.servers) {
         server->mood = Mood::kRefusing;
         server->break_all();
     }
-    here.store.put("sites/a/w1", endpoint_value(here.town.endpoint_address("w1"), "terminating"));
-    here.town.add_endpoint("w9", "std", {}).figures.cores = 4;
-    here.store.put("sites/a/w9", endpoint_value(here.town.endpoint_address("w9")));
-    here.store.compact();
-    here.town.run_for(1s);
-    EXPECT_EQ(here.town.calls_of("w9"), 0u);
-    for (auto& server : here.servers) server->mood = Mood::kWell;
-    ASSERT_TRUE(here.town.run_until([&] { return here.town.calls_of("w9") > 0; }, 12s));
-    here.town.run_for(600ms);  // both gateways
-    const auto last = here.town.last_call_of("w1");
-    here.town.run_for(11s);
-    EXPECT_LT(here.town.last_call_of("w1") - last, 10s);  // the second gateway's pause may have been longer
-    const auto before = here.town.calls_of("w1");
-    here.town.run_for(1s);
-    EXPECT_EQ(here.town.calls_of("w1"), before);
-    // The data are lost: the endpoints stay for a while, and calls are served.
-    here.store.reset();
-    here.store.put("other", "1");
-    here.tell();
-    const auto served = here.town.audit.served;
-    here.town.run_for(1s);
-    EXPECT_GT(here.town.audit.served, served + 20);
-    here.town.load(false);
-    here.town.run_for(2s);
-    EXPECT_EQ(here.town.audit.broken(), "");
+    fixture.store.put("sites/a/w1", endpoint_value(fixture.platform.endpoint_address("w1"), "terminating"));
+    fixture.platform.add_endpoint("w9", "std", {}).figures.cores = 4;
+    fixture.store.put("sites/a/w9", endpoint_value(fixture.platform.endpoint_address("w9")));
+    fixture.store.compact();
+    fixture.platform.run_for(1s);
+    EXPECT_EQ(fixture.platform.calls_of("w9"), 0u);
+    for (auto& server : fixture.servers) server->mood = Mood::kWell;
+    ASSERT_TRUE(fixture.platform.run_until([&] { return fixture.platform.calls_of("w9") > 0; }, 12s));
+    fixture.platform.run_for(600ms);  // for both gateways
+    const auto last = fixture.platform.last_call_of("w1");
+    fixture.platform.run_for(11s);
+    EXPECT_LT(fixture.platform.last_call_of("w1") - last, 10s);  // the second gateway may have paused longer
+    const auto before = fixture.platform.calls_of("w1");
+    fixture.platform.run_for(1s);
+    EXPECT_EQ(fixture.platform.calls_of("w1"), before);
+    // The data are lost: the endpoints are retained for a while, and requests are served.
+    fixture.store.reset();
+    fixture.store.put("other", "1");
+    fixture.notify();
+    const auto served = fixture.platform.audit.served;
+    fixture.platform.run_for(1s);
+    EXPECT_GT(fixture.platform.audit.served, served + 20);
+    fixture.platform.load(false);
+    fixture.platform.run_for(2s);
+    EXPECT_EQ(fixture.platform.audit.broken(), "");
 }
 
-TEST(RegistryChange, AHangupTakesTheGatewayToAnotherKindOfRegistry) {
-    Installation here(KvProtocol::kEtcd, 1);
-    here.others.push_back(std::make_unique<KvServer>(here.town.loop(), here.store, KvProtocol::kConsul));
-    here.town.start();
-    here.town.run_for(400ms);
-    here.town.load(true);
-    here.town.run_for(500ms);
-    here.servers[0]->mood = KvServer::Mood::kSilent;
-    here.servers[0]->break_all();  // in the middle of a reread
-    here.town.run_for(300ms);
-    here.town.add_endpoint("w8", "std", {}).figures.cores = 4;
-    here.store.put("sites/a/w8", endpoint_value(here.town.endpoint_address("w8")));
-    here.town.operate("registry(\"consul\", prefix = \"sites/a/\", endpoints = [\"" +
-                      here.others[0]->address() + "\"])\n");
-    EXPECT_TRUE(here.town.run_until([&] { return here.town.calls_of("w8") > 0; }, 5s));
-    here.town.load(false);
-    here.town.run_for(1s);
-    EXPECT_EQ(here.town.audit.broken(), "");
-    here.town.gateway(0).signal(SIGTERM);
-    EXPECT_TRUE(here.town.run_until([&] { return here.town.gateway(0).has_ended(); }, 5s));
-    EXPECT_EQ(here.town.gateway(0).exit_code(), 0);
+TEST(RegistryChange, ReloadSwitchesToAnotherKindOfRegistry) {
+    RegistryFixture fixture(KvProtocol::kEtcd, 1);
+    fixture.other_servers.push_back(
+        std::make_unique<KvServer>(fixture.platform.loop(), fixture.store, KvProtocol::kConsul));
+    fixture.platform.start();
+    fixture.platform.run_for(400ms);
+    fixture.platform.load(true);
+    fixture.platform.run_for(500ms);
+    fixture.servers[0]->mood = KvServer::Mood::kSilent;
+    fixture.servers[0]->break_all();  // during a repeated listing
+    fixture.platform.run_for(300ms);
+    fixture.platform.add_endpoint("w8", "std", {}).figures.cores = 4;
+    fixture.store.put("sites/a/w8", endpoint_value(fixture.platform.endpoint_address("w8")));
+    fixture.platform.operate("registry(\"consul\", prefix = \"sites/a/\", endpoints = [\"" +
+                             fixture.other_servers[0]->address() + "\"])\n");
+    EXPECT_TRUE(fixture.platform.run_until([&] { return fixture.platform.calls_of("w8") > 0; }, 5s));
+    fixture.platform.load(false);
+    fixture.platform.run_for(1s);
+    EXPECT_EQ(fixture.platform.audit.broken(), "");
+    fixture.platform.gateway(0).signal(SIGTERM);
+    EXPECT_TRUE(fixture.platform.run_until([&] { return fixture.platform.gateway(0).has_ended(); }, 5s));
+    EXPECT_EQ(fixture.platform.gateway(0).exit_code(), 0);
 }
 
-TEST(Snapshot, IsReadBackAndADamagedOrOldOneIsNot) {
+TEST(Snapshot, IsReadUnlessDamagedOrTooOld) {
     discovery::Snapshot all{5000s, {endpoint("a"), endpoint("b", EndpointState::kDraining, 81)}};
     const std::string bytes = discovery::encode_snapshot(all);
     const auto back = discovery::decode_snapshot(bytes, 6000s, 1h);
     ASSERT_TRUE(back) << back.error().message;
-    EXPECT_EQ(back->made, proxy::Timestamp{5000s});
+    EXPECT_EQ(back->created_at, proxy::Timestamp{5000s});
     ASSERT_EQ(back->entries.size(), 2u);
     EXPECT_TRUE(discovery::same(back->entries[1], all.entries[1]));
     const auto late = discovery::decode_snapshot(bytes, 9000s, 1h);
@@ -292,24 +297,24 @@
     }
 }
 
-TEST(Snapshot, ServesAColdStartWithTheRegistryDown) {
-    Installation here(KvProtocol::kEtcd, 1);
+TEST(Snapshot, AllowsAColdStartWhileTheRegistryIsDown) {
+    RegistryFixture fixture(KvProtocol::kEtcd, 1);
     const std::string path = test_support::temporary_path("list");
-    std::string with = here.operators();
+    std::string with = fixture.operators();
     with.insert(with.rfind("endpoints"), "snapshot = \"" + path + ".{gateway}\", ");
-    here.town.settings().operators = with;
-    here.town.start();
-    EXPECT_TRUE(here.town.run_until([&] { return access((path + ".n0").c_str(), R_OK) == 0; }, 5s));
-    here.servers[0]->mood = KvServer::Mood::kRefusing;
-    here.servers[0]->break_all();
-    here.town.kill(0);
-    here.town.start_again(0);
-    here.town.load(true);
-    here.town.run_for(1s);
-    EXPECT_GT(here.town.audit.served, 30u);
-    here.town.load(false);
-    here.town.run_for(1s);
-    EXPECT_EQ(here.town.audit.broken(), "");
+    fixture.platform.settings().operators = with;
+    fixture.platform.start();
+    EXPECT_TRUE(fixture.platform.run_until([&] { return access((path + ".n0").c_str(), R_OK) == 0; }, 5s));
+    fixture.servers[0]->mood = KvServer::Mood::kRefusing;
+    fixture.servers[0]->break_all();
+    fixture.platform.kill(0);
+    fixture.platform.start_again(0);
+    fixture.platform.load(true);
+    fixture.platform.run_for(1s);
+    EXPECT_GT(fixture.platform.audit.served, 30u);
+    fixture.platform.load(false);
+    fixture.platform.run_for(1s);
+    EXPECT_EQ(fixture.platform.audit.broken(), "");
     for (const char* end : {".n0", ".n1"}) unlink((path + end).c_str());
 }
 
