--- a/src/cluster/distribution/json_frames.cpp
+++ b/src/cluster/distribution/cbor_fields.cpp
@@ -1,4 +1,4 @@
-#include "cluster/distribution/json_frames.h"
+#include "cluster/distribution/cbor_fields.h"
 
 #include "storage/checksummed_file.h"
 
--- a/src/cluster/distribution/frames.cpp
+++ b/src/cluster/distribution/frames.cpp
@@ -1,7 +1,7 @@
 #include "cluster/distribution/frames.h"
 
+#include "cluster/distribution/cbor_fields.h"
 #include "cluster/distribution/history.h"
-#include "cluster/distribution/json_frames.h"
 #include "storage/checksummed_file.h"
 
 namespace linnetlead::distribution {
--- a/src/cluster/distribution/history.cpp
+++ b/src/cluster/distribution/history.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "cluster/distribution/json_frames.h"
+#include "cluster/distribution/cbor_fields.h"
 #include "storage/checksummed_file.h"
 
 namespace linnetlead::distribution {
--- a/src/cluster/distribution/log_record.cpp
+++ b/src/cluster/distribution/log_record.cpp
@@ -1,6 +1,6 @@
 #include "cluster/distribution/log_record.h"
 
-#include "cluster/distribution/json_frames.h"
+#include "cluster/distribution/cbor_fields.h"
 
 namespace linnetlead::distribution {
 
--- a/src/discovery/list_poll_schedule.cpp
+++ b/src/discovery/list_poll_schedule.cpp
@@ -28,7 +28,7 @@
       may_have_missed_changes_(pace.told_at_start),
       retry_interval_(
           std::clamp(scaled(Duration(1s), std::max(gateways, 1) / kFleetRetriesPerS), kFirstPause,
-                     std::max(kFirstPause, scaled(pace.longest_rejection, 1 / kMaxIntervalFactor)))),
+                     std::max(kFirstPause, scaled(pace.max_rejection_pause, 1 / kMaxIntervalFactor)))),
       retry_tokens_(kMaxRetryTokens),
       random_(seed) {}
 
@@ -93,15 +93,15 @@
     if (next_kind() == Kind::kCompleteList) complete_list_failed_ = true;
     continues_watch_ = false;
     // All gateways are rejected at about the same time: the first pause spreads them, further pauses grow.
-    const Duration longest = std::min(pace_.longest_rejection, std::max(pace_.max_pause, retry_interval_));
+    const Duration longest = std::min(pace_.max_rejection_pause, std::max(pace_.max_pause, retry_interval_));
     const bool first = rejections_ == 0;
     const Duration most = std::min<Duration>(
         longest, std::max<Duration>(kFirstPause, retry_interval_ / 2) * (1 << std::min(rejections_++, 6)));
     const Duration drawn = scaled(most, std::uniform_real_distribution<double>(first ? 0 : 0.5, 1)(random_));
     const Duration pause = std::max({kFirstPause, drawn, take_retry_token(now)});
-    if (retry_after + pause <= pace_.longest_rejection) return retry_after + pause;
+    if (retry_after + pause <= pace_.max_rejection_pause) return retry_after + pause;
     // Spreads the gateways at the end of a long Retry-After, too.
-    return scaled(pace_.longest_rejection, std::uniform_real_distribution<double>(0.75, 1)(random_));
+    return scaled(pace_.max_rejection_pause, std::uniform_real_distribution<double>(0.75, 1)(random_));
 }
 
 // Requests that succeed in between do not reset the budget; otherwise alternating lists and rejections would
--- a/src/discovery/list_poll_schedule.h
+++ b/src/discovery/list_poll_schedule.h
@@ -19,7 +19,7 @@
     proxy::Duration max_pause;       // between requests that fail repeatedly
     // Longest pause between requests that are rejected repeatedly. 0: a rejection is handled like any other
     // failure, since only this gateway polls the registry.
-    proxy::Duration longest_rejection{0};
+    proxy::Duration max_rejection_pause{0};
     bool told_at_start = false;  // request the complete list at the start, as if changes had been missed
 };
 
@@ -59,7 +59,7 @@
     void record_new_registry();
 
 private:
-    bool is_shared() const { return pace_.longest_rejection > proxy::Duration{0}; }
+    bool is_shared() const { return pace_.max_rejection_pause > proxy::Duration{0}; }
     proxy::Duration take_retry_token(proxy::Timestamp now);
 
     ListPollPace pace_;
--- a/src/policy/attempt_results.cpp
+++ b/src/policy/attempt_result_recorder.cpp
@@ -1,4 +1,4 @@
-#include "policy/attempt_results.h"
+#include "policy/attempt_result_recorder.h"
 
 namespace linnetlead::policy {
 
--- a/src/policy/demand_reports.h
+++ b/src/policy/demand_reports.h
@@ -5,11 +5,11 @@
 #include <string>
 
 #include "linnetlead/policy.h"
-#include "policy/agenda.h"
 #include "policy/demand_count.h"
 #include "policy/quota_schedule.h"
 #include "policy/quota_shares.h"
 #include "policy/shared_counter.h"
+#include "policy/task_queue.h"
 #include "policy/token_bucket.h"
 #include "policy/traffic_statistics.h"
 
--- a/src/policy/endpoint_list.h
+++ b/src/policy/endpoint_list.h
@@ -4,11 +4,11 @@
 #include <vector>
 
 #include "linnetlead/policy.h"
-#include "policy/agenda.h"
 #include "policy/concurrency_limiter.h"
 #include "policy/endpoint_pools.h"
 #include "policy/endpoint_set.h"
 #include "policy/outlier_detector.h"
+#include "policy/task_queue.h"
 
 namespace linnetlead::policy {
 
--- a/src/policy/policy.cpp
+++ b/src/policy/policy.cpp
@@ -4,8 +4,7 @@
 #include <utility>
 
 #include "policy/admission_control.h"
-#include "policy/agenda.h"
-#include "policy/attempt_results.h"
+#include "policy/attempt_result_recorder.h"
 #include "policy/attempt_rules.h"
 #include "policy/attempt_timeouts.h"
 #include "policy/concurrency_limiter.h"
@@ -29,6 +28,7 @@
 #include "policy/sampled_reads.h"
 #include "policy/shared_counter.h"
 #include "policy/slow_start.h"
+#include "policy/task_queue.h"
 #include "policy/token_bucket.h"
 #include "policy/traffic_statistics.h"
 
--- a/src/policy/quota_manager.h
+++ b/src/policy/quota_manager.h
@@ -7,12 +7,12 @@
 #include <vector>
 
 #include "linnetlead/policy.h"
-#include "policy/agenda.h"
 #include "policy/demand_reports.h"
 #include "policy/hard_cap.h"
 #include "policy/quota_schedule.h"
 #include "policy/quota_shares.h"
 #include "policy/shared_counter.h"
+#include "policy/task_queue.h"
 #include "policy/token_bucket.h"
 #include "policy/traffic_statistics.h"
 
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -6,8 +6,7 @@
 
 #include "linnetlead/policy.h"
 #include "policy/admission_control.h"
-#include "policy/agenda.h"
-#include "policy/attempt_results.h"
+#include "policy/attempt_result_recorder.h"
 #include "policy/attempt_rules.h"
 #include "policy/attempt_timeouts.h"
 #include "policy/concurrency_limiter.h"
@@ -24,6 +23,7 @@
 #include "policy/retry_budget.h"
 #include "policy/sampled_reads.h"
 #include "policy/shared_counter.h"
+#include "policy/task_queue.h"
 #include "policy/token_bucket.h"
 #include "policy/traffic_statistics.h"
 
--- a/src/policy/agenda.cpp
+++ b/src/policy/task_queue.cpp
@@ -1,4 +1,4 @@
-#include "policy/agenda.h"
+#include "policy/task_queue.h"
 
 #include <utility>
 
--- a/tests/close_range_test.cpp
+++ b/tests/close_range_test.cpp
@@ -477,7 +477,7 @@
          {net::DiscoveryWatch::Pace{300ms, 150ms, 0ms, 1s}, net::DiscoveryWatch::Pace{300ms, 150ms, 80ms, 1s},
           net::DiscoveryWatch::Pace{300ms, 150ms, 80ms, 1s, 300ms}}) {
         // Where all gateways ask one registry, what it refused did not begin, and nothing was missed.
-        const bool only_rejected = pace.longest_rejection > 0ms && std::string(GetParam().name) == "error";
+        const bool only_rejected = pace.max_rejection_pause > 0ms && std::string(GetParam().name) == "error";
         Rig rig;
         Listener discovery;
         net::DiscoveryWatch watch(rig.loop, rig.gateway, discovery.address(), 41, 7, pace);
--- a/tests/accord_test.cpp
+++ b/tests/config_agreement_test.cpp
@@ -1,11 +1,12 @@
 // Tests of the config agreement: its parts, some by properties, and complete simulated groups in virtual time
 // with a fault injected at each numbered point in turn.
+#include "cluster/agreement/config_agreement.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <algorithm>
 
-#include "cluster/agreement/config_agreement.h"
 #include "testing/simulated_cluster.h"
 
 namespace linnetlead {
--- a/tests/list_calls_test.cpp
+++ b/tests/list_poll_schedule_test.cpp
@@ -1,5 +1,7 @@
 // Many gateways poll a registry that admits fewer requests than they send. A model with a virtual clock runs
 // the real ListPollSchedule of each gateway; further tests run the watch that sends the requests on sockets.
+#include "discovery/list_poll_schedule.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -10,7 +12,6 @@
 #include <vector>
 
 #include "discovery/discovery_watch.h"
-#include "discovery/list_poll_schedule.h"
 #include "rig.h"
 
 namespace {
--- a/tests/list_slices_test.cpp
+++ b/tests/list_update_slicer_test.cpp
@@ -1,5 +1,7 @@
 // Long lists and long changes are parsed on a thread and passed on in slices, so that requests are not
 // delayed. Guards against a wrong order of slices, by which an endpoint would keep an outdated state.
+#include "discovery/list_update_slicer.h"
+
 #include <time.h>
 
 #include <atomic>
@@ -8,7 +10,6 @@
 #include <thread>
 
 #include "discovery/discovery_watch.h"
-#include "discovery/list_update_slicer.h"
 #include "net/background.h"
 #include "rig.h"
 
--- a/tests/crowd_test.cpp
+++ b/tests/new_tenant_limiter_test.cpp
@@ -1,10 +1,11 @@
 // The new-tenant limiter under a flood of new accounts: bounded memory, established accounts are served, and
 // a new account that keeps trying is admitted.
+#include "proxy/new_tenant_limiter.h"
+
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "proxy/new_tenant_limiter.h"
 #include "proxy/ports.h"
 
 namespace linnetlead {
--- a/tests/forms_test.cpp
+++ b/tests/prepared_statements_test.cpp
@@ -1,9 +1,10 @@
 // Prepared statements: the first lines of bodies, the records, and simulated gateways in virtual time, with
 // changes of statements and schemas, faults injected at numbered points, and safeguards disabled.
+#include "cluster/statements/prepared_statements.h"
+
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "cluster/statements/prepared_statements.h"
 #include "testing/statement_workload.h"
 
 namespace linnetlead {
