--- a/src/cluster/agreement/topic_agreement.cpp
+++ b/src/cluster/agreement/topic_agreement.cpp
@@ -213,7 +213,8 @@
         const Version version = topic.decision->version;
         const Record* record = context_.records.find(proposal_key(name, version));
         const auto checked = topic.checked.find(version_hash(version));
-        // Without the content, or if it cannot act on it, this gateway stays fenced.
+        // Without the content, or if it cannot act on it, this gateway does not activate the version. It
+        // stays fenced, since ConfigAgreement ends its lease at the activation time of a decided version.
         if (!record || checked == topic.checked.end() || !checked->second) continue;
         activate(now, name, topic, record->value);
     }
--- a/src/cluster/agreement/topic_agreement.h
+++ b/src/cluster/agreement/topic_agreement.h
@@ -1,6 +1,7 @@
-// Brings topics from a proposal to an active version. Proposals are replicated as records. Each gateway
-// checks whether it can act on a proposal. The decider waits until all present members hold it and then
-// decides the activation time, at which every gateway activates it. If gateways can only reach the shared
+// Brings topics from a proposal to an active version. Any gateway may propose; proposals are replicated as
+// records. Each gateway checks whether it can act on a proposal. The decider (the first committee member that
+// is alive) waits until all present members hold the proposal and can act on it. It then decides the
+// activation time, at which every gateway activates the version. If gateways can reach only the shared
 // counter, votes on the counter replace the decider. Used by ConfigAgreement.
 #pragma once
 
@@ -43,7 +44,7 @@
     bool on_record_stored(Timestamp now, const Record& record);
     // True if a slot has been read, which may change the lease.
     bool on_counter_answer(Timestamp now, const std::string& name, bool ok, double total);
-    // Recomputes the candidates; call after records were erased.
+    // Recomputes the candidates (the newest proposal of each topic); call after records were erased.
     void refresh_proposals(Timestamp now);
     void restore_topic(const std::string& name, Topic topic) { topics_.restore(name, std::move(topic)); }
     // Reports the restored versions as active to the owner.
--- a/src/cluster/distribution/fan_out.cpp
+++ b/src/cluster/distribution/fan_out.cpp
@@ -15,11 +15,11 @@
 constexpr std::size_t kChunksPerTick = 32;     // snapshot chunks to all followers together
 constexpr std::size_t kMaxOtherSessions = 64;  // tools, and sessions without a hello yet
 constexpr Duration kHelloTimeout = 5s, kFollowerTimeout = 7s, kToolTimeout = 60s, kKeepaliveInterval = 1s;
-// One follower per second is asked to leave. If every relay is above its target, this would never end, so a
-// token bucket limits it: after the burst, requests are rare.
+// At most one follower per second is asked to leave. If every relay is above its target, followers would be
+// asked forever, so a token bucket limits it: after the burst, one follower in 10 s is asked.
 constexpr double kLeaveRequestBurst = 600, kLeaveRequestsPerS = 0.1;
 constexpr Duration kLeaveRequestInterval = 1s, kMinSessionAge = 5s;
-constexpr std::int64_t kLeaveDurationMs = 600 * 1000;
+constexpr std::int64_t kLeaveDurationMs = 600 * 1000;  // sent to the follower that is asked to leave
 
 }  // namespace
 
@@ -99,7 +99,8 @@
     if (join_limiter_.is_busy(now) || !has_heartbeat || active_snapshots_ > 0 ||
         history_.pending_change_count() > 0)
         return;
-    // The newest follower: one that finds no nearby relay with capacity keeps moving, and the others stay.
+    // Asks the newest follower. If no nearby relay has capacity, the same follower returns as the newest and
+    // is asked again, and the others keep their sessions.
     auto newest = sessions_.end();
     for (auto each = sessions_.begin(); each != sessions_.end(); ++each) {
         const Downstream& downstream = each->second;
@@ -265,15 +266,17 @@
         const LogIndex next = downstream.sent_through + 1;
         if (!downstream.wants_snapshot) {
             if (next > history_.last_index()) return;
-            // The record is no longer retained, or the records take more bytes than the window, so that the
-            // latest value of each key is cheaper.
+            // A snapshot is sent if the next record is no longer retained, or if the records up to the
+            // applied index take more bytes than the send window: the latest value of each key is then
+            // cheaper.
             downstream.wants_snapshot =
                 next < history_.first_index() ||
                 (next <= history_.applied_index() &&
                  history_.bytes(next, history_.applied_index()) > settings_.send_window_bytes);
         }
         if (downstream.wants_snapshot) {
-            // Earlier records drain first: a later snapshot repeats fewer of them.
+            // Waits until at most half a window of earlier records is unsent. The snapshot need not repeat
+            // what the follower acknowledges until then.
             if (callbacks_.unsent_bytes(session) > settings_.send_window_bytes / 2 ||
                 !begin_snapshot(downstream))
                 return;
@@ -303,8 +306,8 @@
 void FanOut::send_chunks(Session session, Downstream& downstream) {
     Snapshot& snapshot = *downstream.snapshot;
     while (chunks_left_ > 0 && callbacks_.unsent_bytes(session) <= settings_.snapshot_window_bytes) {
-        // The store has dropped tombstones since the snapshot began, so a removed key may be missing from it:
-        // start again.
+        // The store has dropped tombstones since the snapshot began, so the snapshot may lack the removal of
+        // a key. It starts again, as a full one if the dropped tombstones are newer than its base revision.
         if (history_.store().tombstones_since() != snapshot.tombstones_since) {
             const bool is_full = snapshot.since_revision < history_.store().tombstones_since();
             snapshot =
@@ -386,9 +389,9 @@
     const std::size_t bytes = write(frame).size();
     for (const auto& [session, downstream] : sessions_) {
         if (!downstream.has_sent_hello || downstream.role == Role::kTool) continue;
-        // A follower with another history must not renew its lease by this heartbeat; an empty one only shows
-        // that this relay is alive.
         if (callbacks_.unsent_bytes(session) > settings_.send_window_bytes) continue;
+        // A follower that needs the full state must not renew its lease by this heartbeat. It gets an empty
+        // one, which only shows that this relay is alive.
         if (downstream.needs_full_state) {
             send_frame(session, Lease{});
         } else {
--- a/src/cluster/distribution/fan_out.h
+++ b/src/cluster/distribution/fan_out.h
@@ -1,6 +1,6 @@
 // Serves the followers of a relay: admits them, sends each the records or the snapshot that it lacks, and
-// counts what they acknowledge. Relay drives it. A follower has a position in the history and no queue of its
-// own. No I/O and no clock.
+// counts what they acknowledge. Relay drives it. For each follower only a position in the history is kept,
+// not a queue of records. No I/O and no clock.
 #pragma once
 
 #include "cluster/distribution/acknowledgement_counts.h"
@@ -11,7 +11,7 @@
 
 class FanOut {
 public:
-    // Handlers of the requests that any session may send.
+    // Handlers of the requests that any session may send: `submit` for a change, `state` for an Ask.
     struct RequestHandlers {
         std::function<void(Timestamp, Session, const Submit&)> submit;
         std::function<void(Timestamp, Session, const Ask&)> state;
@@ -57,9 +57,11 @@
         LogIndex claimed_index = 0;
         std::uint64_t claimed_term = 0;
         LogIndex max_acknowledgeable = 0;  // the newest record that it may hold
-        LogIndex applied_index = 0;        // at least the records up to here are applied to its state
-        // It holds records that are not part of this history and needs the full state. Until it acknowledges
-        // that state's activation, its acknowledgements refer to the other history and are ignored.
+        LogIndex applied_index = 0;        // all records up to here are applied to its state, perhaps more
+        // It needs the full state: it asked for it in its hello, or holds records that are not part of this
+        // history. After the full state was sent, `awaits_full_state_ack` is set until the follower
+        // acknowledges `full_state_activation`. Its acknowledgements up to then are ignored, since they refer
+        // to the other history.
         bool needs_full_state = false;
         LogIndex full_state_activation = 0;
         bool awaits_full_state_ack = false;
@@ -76,6 +78,7 @@
     void on_ack(Timestamp now, Session session, Downstream& downstream, const Ack& ack);
     void reject(Session session, Rejection rejection, const std::string& message);
     void reject_join(Timestamp now, Session session);
+    // Balances followers between relays: asks one to try another relay if this one is above its target.
     void ask_one_to_leave(Timestamp now);
     void remove_session(Session session);
     void require_full_state(Session session, Downstream& downstream);
@@ -96,7 +99,7 @@
     AcknowledgementCounts counts_;
     std::deque<Batch> batches_;  // cached, oldest first
     std::size_t active_snapshots_ = 0;
-    std::size_t chunks_left_ = 0;  // until the next tick
+    std::size_t chunks_left_ = 0;  // snapshot chunks that may still be sent before the next tick
     Heartbeat heartbeat_;
     Timestamp heartbeat_sent_at_{};
     double leave_tokens_ = 0;  // followers that may be asked to leave now
--- a/src/metering/balance_lease.cpp
+++ b/src/metering/balance_lease.cpp
@@ -17,7 +17,8 @@
 constexpr Duration kQuietBeforeEpochEnd = 250ms;
 // An epoch's totals are final this long after its end, when all gateways' clocks have passed it.
 constexpr Duration kCloseAfter = 350ms;
-// After an epoch's start, by when the gateways that know the sum have published it.
+// A gateway that has just started reads the published sum this long after an epoch's start. The gateways that
+// know the sum have published it by then.
 constexpr Duration kReadSumAfter = 900ms;
 constexpr Duration kRetryAfter = 200ms;
 constexpr Duration kReadInterval = 1s;
@@ -31,7 +32,7 @@
 constexpr double kRateBurstS = 2;  // seconds of the balance's rate that may be used at once
 // Share of the target that one reservation asks for; a lost reply can cost that much.
 constexpr double kReservationShare = 0.25;
-constexpr double kRounding = 1e-6;         // tolerance for sums of units, which are whole on the counter
+constexpr double kRounding = 1e-6;         // tolerance of sums of units; units on the counter are whole
 constexpr double kCounterTolerance = 0.5;  // a larger decrease of a total means that the counter was reset
 
 double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
@@ -63,8 +64,9 @@
     add(Operation::kPublishSum, Name::kSum, epoch_, std::max(0.0, std::round(reserved_before_epoch_)));
 }
 
-// What the owner could still use at max_rate is kept for the owner; the rest may be lent. The rest grows no
-// faster than max_rate, so lending never starts with a jump.
+// What the owner could still use at max_rate until the end of the balance is kept for the owner; the rest may
+// be lent. What the owner could use falls by max_rate per second, so the rest grows no faster than that, and
+// lending does not start with a jump.
 double BalanceLease::lendable(Timestamp now) const {
     if (!balance_.lend || balance_.max_rate <= 0 || !active(now)) return 0;
     const double usable_by_owner = balance_.max_rate * (seconds(balance_.until - now) + kRateBurstS);
@@ -84,8 +86,9 @@
     return lent_demand_ * std::exp(-seconds(now - lent_demand_at_) / kDemandWindowS);
 }
 
-// The units that should be available at this gateway: at the start of the balance its share of half of what
-// is left; later what the local demand needs.
+// The units that should be available at this gateway. Until kDemandWindowS after the balance's start: half of
+// the units that are left, divided by the gateways, or the recent demand if that is more. Later: the recent
+// demand, within limits.
 double BalanceLease::target(Timestamp now) const {
     const double part = std::max(0.0, unreserved() + available_) / (2 * gateways_);
     const bool starting = now < balance_.since + std::chrono::duration_cast<Duration>(
@@ -251,7 +254,7 @@
         ++lost_reservations_;
     } else if (pending.epoch == epoch_) {
         on_reserved(pending, total, now);
-    }  // else it counts in an epoch that has ended, and this lease gives its units up
+    }  // else the units count as reserved in an epoch that has ended, and no gateway can use them
 }
 
 bool BalanceLease::charge(Timestamp now, double units) {
--- a/src/metering/balance_lease.h
+++ b/src/metering/balance_lease.h
@@ -4,9 +4,12 @@
 // only grow.
 //
 // A counter keeps a name for 60 s at most, so reservations are counted in epochs, each with its own names.
-// After the end of an epoch every gateway that knows the sum so far reads the final totals and publishes the
-// new sum for gateways that have started since: one name holds the sum of the values of all publishers, a
-// second one the number of publishers. The class does no I/O and reads no clock; PrepaidBalances drives it.
+// After the end of an epoch every gateway that knows the units reserved so far reads the final totals and
+// publishes the new sum for gateways that have started since. Each publisher adds its sum to one name and 1
+// to a second one; a reader divides the first total by the second.
+//
+// The lease is kept in memory only. If the process ends, the units that it has reserved and not charged stay
+// reserved, and no gateway can use them. The class does no I/O and reads no clock; PrepaidBalances drives it.
 #pragma once
 
 #include <cstdint>
@@ -29,7 +32,7 @@
 public:
     static constexpr std::string_view kNamePrefix = "rv.";  // of all its names on the shared counter
     static constexpr Duration kEpochLength = std::chrono::seconds(20);
-    // Reservations start this long before the balance does, so that units are available from its start.
+    // Units are reserved from this long before the balance's start, so that they are available at its start.
     static constexpr Duration kReserveAhead = std::chrono::seconds(2);
 
     // `gateways`: the number that share the balance. `max_units`: the most that one request costs.
@@ -49,7 +52,8 @@
     bool lend(Timestamp now, double units);
     // Refunds the charge of a request that was never forwarded.
     void refund(double units, bool lent) { (lent ? lent_available_ : available_) += units; }
-    // Corrects a charge to the request's true units: `difference` more than were charged.
+    // Corrects a charge to the request's true units: `difference` more than were charged. The available units
+    // may become negative.
     void correct(double difference, bool lent) { refund(-difference, lent); }
     // Handles the reply to an add; `total` is read only if `ok`. False: the name is not this lease's.
     bool on_counter_reply(Timestamp now, const std::string& name, bool ok, double total);
@@ -59,8 +63,8 @@
         double reserved = 0;                  // by all gateways, net of what was returned
         double available = 0;                 // units here, for the owner
         double lent_available = 0;            // units here, for other tenants
-        double charged = 0;                   // units here, so far
-        double lent = 0;                      // units here, so far
+        double charged = 0;                   // units that charge() has taken here so far
+        double lent = 0;                      // units that lend() has taken here so far
         std::uint64_t lost_reservations = 0;  // adds without a reply, whose units nobody can use
         std::uint64_t counter_resets = 0;     // detected as totals that decreased
     };
@@ -121,7 +125,7 @@
     double max_units_;
     CounterAdd add_;
     std::unordered_map<std::string, std::deque<PendingAdd>>
-        pending_;  // by name; at most one of each operation
+        pending_;  // adds without a reply yet, by name, in the order in which they were sent
 
     std::int64_t epoch_ = -1;  // whose names are in use; -1: none yet, since the sum is unknown
     double reserved_before_epoch_ = 0;
--- a/src/policy/reservations.cpp
+++ b/src/policy/reservations.cpp
@@ -4,13 +4,14 @@
 
 namespace {
 
-constexpr double kReservedShareOfBurst = 0.5;  // with less in the bucket, each request reserves its units
-constexpr int kMinTimeoutsLeft = 2;            // counter timeouts; a request with less time left doesn't wait
+// Share of the burst. With less than this left in the bucket, each request reserves its units on the counter.
+constexpr double kReservedShareOfBurst = 0.5;
+constexpr int kMinTimeoutsLeft = 2;  // counter timeouts; a request with less time left doesn't wait
 
 }  // namespace
 
-// Whether the tenant's first request here arrived in the current interval, so that the others' earlier use is
-// only assumed.
+// Whether the tenant's first request at this gateway arrived in the current interval. What the other
+// gateways spent before is then only assumed, until the total of their reports has been read.
 bool Reservations::is_new_tenant(const Tenant& tenant) {
     return tenant.first_seen_interval == tenant.interval;
 }
@@ -20,6 +21,7 @@
         request.due - now < context_.settings.counter_timeout * kMinTimeoutsLeft) {
         return false;
     }
+    // While the counter is slow, only a part of the requests may wait for it.
     if (context_.random.uniform() > context_.counter.sampling_share()) return false;
     const double left = context_.bucket.available(tenant, now) - request.units;
     const double reserved = kReservedShareOfBurst * context_.schedule.plan_of(tenant).burst;
@@ -40,20 +42,22 @@
     if (!previous_known && now - start > context_.settings.counter_timeout) {
         context_.reports.read_total(request.tenant, tenant, now);
     } else if (!previous_known && is_new_tenant(tenant)) {
-        // The bucket must not be assumed full a second time: what the others spent before this interval
-        // becomes known only when their reports have arrived.
+        // The total of the previous interval may still lack reports of other gateways. If the bucket were
+        // assumed full before then, units that the others have already spent would be granted again.
         request.quota_decision = QuotaDecision::kRejected;
         return false;
     }
     context_.bucket.spend(tenant, request.units, now);
     request.holds_units = true;
     if (context_.reports.report(request.tenant, tenant, now, id)) return true;
+    // No call was made, because the counter is unreachable.
     context_.bucket.return_units(tenant, request, now);
     return false;
 }
 
-// Without a successful reply the request is admitted only within this gateway's share. While the counter is
-// unreachable, the decision is left to AdmissionControl as for a request without a reservation.
+// Rejects the request if the bucket lacks its units, or if the counter call failed and the tenant has spent
+// more than this gateway's quota share. Otherwise admits it, unless the counter is unreachable:
+// AdmissionControl then decides as for a request without a reservation.
 void Reservations::on_reply(Tenant& tenant, OpenRequest& request, CounterStatus status, Timestamp now) {
     const bool fits = context_.bucket.available(tenant, now) >= 0 &&
                       (status == CounterStatus::kOk || tenant.current.spent <= tenant.quota_share);
--- a/src/policy/reservations.h
+++ b/src/policy/reservations.h
@@ -1,8 +1,9 @@
 // Reserves the units of single requests on the shared counter.
 //
-// While much of the token bucket is left, requests within the gateway's quota share are admitted without a
-// counter call. When the bucket is nearly empty, or the share rejects a request, the units are reserved on
-// the counter before the request is admitted. So units that one gateway leaves unused can be used at another.
+// While enough of the token bucket is left, requests within the gateway's quota share are admitted without a
+// counter call. When less is left, or a request does not fit the share, its units are reserved on the counter
+// before it is admitted. So units that one gateway leaves unused can be used at another. RequestLifecycle
+// calls reserve() when a request arrives and on_reply() when the counter has replied.
 #pragma once
 
 #include "linnetlead/policy.h"
@@ -33,10 +34,11 @@
     };
     explicit Reservations(const Context& context) : context_(context) {}
 
-    // Decides on a newly arrived request, or reserves its units. Returns true if the request has to wait for
-    // the counter's reply; it then holds the units. Otherwise its quota_decision may have been set.
+    // Called for a newly arrived request. Returns true if it has to wait for the counter's reply; it then
+    // holds its units. Returns false if it need not wait: quota_decision is then set, or still kUndecided,
+    // and AdmissionControl decides.
     bool reserve(Tenant& tenant, OpenRequest& request, RequestId id, Timestamp now);
-    // Decides on a request after the reply to its reservation.
+    // Sets quota_decision after the reply to the request's reservation.
     void on_reply(Tenant& tenant, OpenRequest& request, CounterStatus status, Timestamp now);
 
 private:
--- a/src/proxy/downstream_server.cpp
+++ b/src/proxy/downstream_server.cpp
@@ -32,9 +32,14 @@
 // make a request miss its deadline.
 constexpr proxy::Duration kMaxAcceptDelay = std::chrono::milliseconds(100);
 constexpr proxy::Duration kAcceptRetryDelay = std::chrono::milliseconds(4);
-constexpr std::size_t kFreePart = 16;  // 1/16 of the clients: room kept free by closing connections early
-constexpr proxy::Duration kIdleTimeout = std::chrono::milliseconds(2100);  // of a client without requests
-// For an incomplete command: slow clients take up to 2 s, and others are answered within 3 s of connecting.
+// 1/16 of the connection limit is kept free: while less is free, each new connection closes another one
+// gracefully.
+constexpr std::size_t kFreePart = 16;
+// Of a client that has never sent a request; of any idle client while more than half of the connections are
+// in use.
+constexpr proxy::Duration kIdleTimeout = std::chrono::milliseconds(2100);
+// For an incomplete command. Slow clients need up to 2 s to send one. A client that stops within a command
+// gets an error within 3 s of connecting.
 constexpr proxy::Duration kIncompleteTimeout = std::chrono::milliseconds(2600);
 
 void write_answer(std::string& out, const Answer& answer) {
@@ -65,7 +70,8 @@
         Entry& entry = entries_[static_cast<std::size_t>(number - first_)];
         entry.request = {};
         entry.done = true;
-        // A truncated value: only the close of the connection tells the client. Earlier answers are written.
+        // The attempt ended before the whole value was passed on. A part of it is already written, so only
+        // closing the connection shows the client the failure. Earlier answers are still written.
         if (answer.passed && answer.verdict != Verdict::kServed) {
             withdraw_all();
             return close_gracefully();
@@ -90,7 +96,8 @@
             output_of(*entry, number).append(1, '$').append(std::to_string(size)).append(kLineEnd);
         }
     }
-    // A value whose turn has not come is paused after one buffer, which is kept here.
+    // A value that has to wait for the answers to earlier commands is paused after its first piece, which is
+    // buffered here.
     bool pass_value(std::uint64_t number, std::string_view piece) {
         Entry* const entry = find(number);
         if (!entry) return false;
@@ -142,8 +149,9 @@
     }
     // Order of eviction when there is no room: the lowest rank is closed first.
     std::tuple<int, bool, Timestamp> eviction_rank(Timestamp now) const {
-        // An abandoned command stops after one read; a slow client continues, and would lose its request. An
-        // idle client loses nothing: it reconnects.
+        // A command of which only one read has arrived, and nothing for kStalledAfter, counts as abandoned. A
+        // slow client sends more and would lose its request, so it is closed last. An idle client loses
+        // nothing: it reconnects.
         constexpr int kNoRequest = 0, kStalled = 1, kIdle = 2, kReceiving = 3;
         if (finishing()) return {kNoRequest, unsent() > 0, last_used};
         if (incomplete_since_ != Timestamp{}) {
@@ -200,7 +208,7 @@
         ++reads_of_command_;
         while (taken < bytes.size() && !closing() && !finishing()) {
             if (body_.left > 0) {
-                incomplete_since_ = now;  // a slow body may go on as long as bytes arrive
+                incomplete_since_ = now;  // while bytes arrive, only body_timeout_ limits a slow body
                 taken += consume_body(bytes.substr(taken));
                 continue;
             }
@@ -441,7 +449,7 @@
     add_client(asked, make_room(), [from](Client& client) { return client.accept(from); });
 }
 
-// A connection that is not accepted here stays with libuv, which reports no other one before it.
+// While this connection is not accepted, libuv keeps it and reports no further connection.
 void DownstreamServer::on_connection(uv_stream_t* listener, int status) {
     if (status < 0) return;  // out of descriptors: libuv has refused it
     const Timestamp now = loop_.now();
@@ -475,9 +483,9 @@
     if (connect(client) != 0 || !room) client.close();
 }
 
-// At the limit, closes a connection that waits for nothing: first one that never sent a request, then the one
-// idle longest, whose client can reconnect. Shortly below the limit, closes one gracefully, so that no
-// request on its way is lost.
+// At the limit, closes the connection with the lowest eviction_rank() of those that wait for no answer.
+// Shortly below the limit, closes it gracefully, so that no request on its way is lost. False: there is no
+// room.
 bool DownstreamServer::make_room() {
     const bool full = clients_.size() >= max_clients_;
     if (clients_.size() < max_clients_ - max_clients_ / kFreePart) return true;
--- a/src/proxy/downstream_server.h
+++ b/src/proxy/downstream_server.h
@@ -42,17 +42,19 @@
     }
     // The listening socket, for handing it to another process; null if not listening.
     uv_stream_t* listening() const { return listener_.stream(); }
-    // Adopts the listening socket of another process, which accepts connections until start().
+    // Adopts the listening socket of another process. Connections are accepted here only after start().
     int adopt(uv_stream_t* from) { return listener_.adopt(from); }
     int start();
-    // Another process accepts connections from now on. Each connection is passed to it when it becomes idle.
-    // `asked`: the client has sent a request before. Null: stops this and accepts connections here again.
+    // Passes a connection to another process and calls `sent` with the success. `asked`: the client has sent
+    // a request before.
     using Pass = std::function<void(uv_stream_t* client, bool asked, std::function<void(bool)> sent)>;
+    // Another process accepts connections from now on, and each connection is passed to it when it becomes
+    // idle. A null `pass` ends this: connections are accepted here again.
     void pass_on(Pass pass);
     // Takes a connection that another process passed on.
     void take_in(uv_stream_t* from, bool asked);
     void limit_unsent(std::size_t bytes) { max_unsent_ = bytes; }
-    // Whether PING is answered with PONG or with an error, as while draining.
+    // True: PING is answered with PONG. False: with an error, as while draining.
     void answer_pings(bool with_yes) { answers_pings_ = with_yes; }
     void close();
     bool empty() const { return clients_.size() == 0; }
--- a/src/traffic/canary_rollout.cpp
+++ b/src/traffic/canary_rollout.cpp
@@ -12,19 +12,20 @@
 namespace {
 
 // Thresholds of the log evidence. A threshold of log(x) bounds the probability of a wrong decision by 1/x.
-// Roll-back has strict thresholds, because each of up to eight stages with a few epochs could raise a false
-// alarm, and a gateway's own evidence is tested beside that of the group. For the next stage, a pool that is
-// slower than Tolerance::shown passes by chance in one of twenty cases.
+// Those for a roll-back are strict, because the test is repeated: in up to eight stages, in a few epochs of
+// each, and on every gateway's own evidence beside that of the group. The threshold for the next stage lets a
+// pool that is slower than Tolerance::shown pass by chance in at most one of twenty cases.
 const double kWorseLogEvidence = std::log(1000.0);
 const double kOwnWorseLogEvidence = std::log(4000.0);
 const double kGoodLogEvidence = std::log(20.0);
 // Evaluations of the group's evidence before a decision. A lost count distorts only one of them.
 constexpr int kLooksInARow = 2;
-constexpr int kViewsToRecover = 3;        // after a start
-constexpr double kHoldbackShare = 0.05;   // stays in the old pool until the end, for comparison
-constexpr double kMinReachedShare = 0.8;  // of a stage's share, before the next stage
-constexpr double kDecayPerTick = 0.98;    // of the numbers of wanted and admitted requests
-constexpr int kHaltMessageCopies = 3;     // datagrams can be lost
+constexpr int kViewsToRecover = 3;       // after a start
+constexpr double kHoldbackShare = 0.05;  // stays in the old pool until the end, for comparison
+// Part of the requests assigned to the new pool that the slow-start budget must admit before the next stage.
+constexpr double kMinReachedShare = 0.8;
+constexpr double kDecayPerTick = 0.98;  // of the numbers of wanted and admitted requests
+constexpr int kHaltMessageCopies = 3;   // datagrams can be lost
 constexpr Duration kMaxEvidenceAge = 6s;
 constexpr Duration kStepBackLag = 3s;  // within this time after a step, a view still shows the stage before
 
@@ -207,8 +208,8 @@
 }
 
 // After a start this gateway does not know the stage of the others. It publishes no phase, which keeps them
-// from advancing, until it has read a few slots. A counter that does not answer is never taken for an
-// answer.
+// from advancing, until it has read a few slots. If the counter does not answer, it keeps waiting: a missing
+// answer does not mean that no other gateway has begun.
 void CanaryRollout::recover_stage(Timestamp now) {
     const GatewayGroup::View& view = *group_.view();
     if (++views_since_start_ < kViewsToRecover) return;
@@ -339,7 +340,8 @@
     if (state_ == State::kRollingBack && outstanding_ == 0) enter_state(now, State::kUndone, reason_);
     if (state_ == State::kRollingBack || has_ended() || !is_stage_known_) return;
 
-    // Without recent views of the others the stage is not held, because one of them may have halted.
+    // Without a recent view of the others nothing goes to the new pool, because one of them may have rolled
+    // back.
     const bool has_lost_contact =
         site_.gateways > 1 && (!last_view_at_ || now - *last_view_at_ > settings_.lease);
     if (has_lost_contact && !is_cut_off_ && stage_ > 0) {
--- a/src/traffic/canary_rollout.h
+++ b/src/traffic/canary_rollout.h
@@ -1,7 +1,8 @@
-// A rollout: moves traffic from one pool (source) to another (target) in stages. The state machine runs on
-// every gateway of the group. It advances when all gateways are in the same stage and the evidence shows that
-// the new pool is good, and rolls back when the evidence shows that it is worse. Router owns the current
-// rollout and passes in requests, attempts and the time; the state machine does no I/O.
+// A rollout: moves traffic from one pool (source, the old pool) to another (target, the new pool) in stages.
+// The state machine runs on every gateway of the group. It advances when all gateways are in the same stage
+// and the evidence shows that the new pool is good, and rolls back when the evidence shows that it is worse.
+// Router owns the current rollout and passes in requests, attempts and the time; the state machine does no
+// I/O.
 #pragma once
 
 #include <array>
@@ -18,8 +19,8 @@
 namespace linnetlead::traffic {
 
 struct Stage {
-    double share = 0;
-    Duration hold = std::chrono::seconds(20);
+    double share = 0;                          // of the requests, that go to the new pool
+    Duration hold = std::chrono::seconds(20);  // at least; begins when the share has been reached
 };
 
 enum class Order { kRun, kPause, kAbort };
@@ -34,11 +35,12 @@
     std::vector<Stage> stages;
     Duration step = std::chrono::seconds(5);  // in which the share rises to that of the stage
     Tolerance tolerance;
-    Duration lease = std::chrono::seconds(10);  // longest time without a view of the others
-    Duration deadline = std::chrono::hours(1);
-    bool undo_at_deadline = true;
-    bool keep_at_end = true;
-    double headroom = 1.5;
+    // Longest time without a view of the other gateways; after it, nothing goes to the new pool.
+    Duration lease = std::chrono::seconds(10);
+    Duration deadline = std::chrono::hours(1);  // from the first stage; later the rollout does not advance
+    bool undo_at_deadline = true;               // rolls back at the deadline; false: stays in its stage
+    bool keep_at_end = true;                    // at the end the last share stays; false: it returns to 0
+    double headroom = 1.5;                      // see SlowStartBudget::Settings
     Order order = Order::kRun;
 
     // Identifies the rollout on all gateways: a hash of its name, run, pools, classes, plans and shares. The
@@ -81,7 +83,7 @@
     void update_endpoints(Timestamp now, const std::vector<SlowStartBudget::Endpoint>& source,
                           const std::vector<SlowStartBudget::Endpoint>& target);
 
-    // Decides whether a request goes to the new pool, and then takes its work from the slow-start budget.
+    // Decides whether a request goes to the new pool; if so, takes its work from the slow-start budget.
     // `draw` lies in [0, 1), and is random per request or derived from the account.
     bool selects_target(Timestamp now, int traffic_class, double draw);
     // Records a first attempt of any request that was sent to the old pool.
@@ -107,7 +109,7 @@
     std::string verdict(Timestamp now) const;
     std::uint64_t counter_calls() const { return group_.counter_requests(); }
     const Evidence& evidence() const { return analysis_.evidence(); }
-    // Requests that stayed in the old pool because of the slow-start budget.
+    // Number of requests that stayed in the old pool because of the slow-start budget.
     std::uint64_t bounded() const { return bounded_; }
     // Attempts in the new pool that have not ended.
     int outstanding() const { return outstanding_; }
@@ -115,6 +117,7 @@
 
 private:
     // The phases that GatewayGroup counts: halted, then stage 0 (not started) to the last stage, then done.
+    // The halted phase means rolled back; State::kHalted means paused, cut off or without endpoints.
     static constexpr int kHaltedPhase = 0;
     int phase_of_stage(int stage) const { return stage + 1; }
     int done_phase() const { return last_stage() + 2; }
