--- a/src/cluster/distribution/follower.cpp
+++ b/src/cluster/distribution/follower.cpp
@@ -109,10 +109,10 @@
     } else if (const auto* away = std::get_if<Away>(&frame)) {
         connection_.on_retry_later(now, *away);
     } else if (const auto* error = std::get_if<Error>(&frame)) {
-        connection_.abandon(now,
-                            std::string("the relay reported an error: ") +
-                                rejection_message(error->rejection) + ", " + error->message,
-                            FollowerConnection::kMinAvoidance);
+        connection_.abandon(
+            now,
+            std::string("the relay says: ") + rejection_message(error->rejection) + ", " + error->message,
+            FollowerConnection::kMinAvoidance);
     } else if (const auto* records = std::get_if<Records>(&frame)) {
         on_records(now, *records);
     } else if (const auto* lease = std::get_if<Lease>(&frame)) {
@@ -246,7 +246,7 @@
     if (!connection_.tick(now)) return;
     // A relay may delay records, but records that were lost require a new connection.
     if (lease_.is_missing_records(now, kMissingRecordsTimeouts * settings_.heartbeat_timeout))
-        return connection_.abandon(now, "committed records have not arrived in time");
+        return connection_.abandon(now, "records that counted have not come for too long");
     const bool is_quiet = history_.pending_change_count() == 0 && !fenced(now);
     if (connection_.may_return_to_nearest(now) && is_quiet && connection_.return_to_nearest(now)) return;
     acknowledge(now);
--- a/src/cluster/distribution/follower_connection.cpp
+++ b/src/cluster/distribution/follower_connection.cpp
@@ -143,7 +143,7 @@
                               : std::min(settings_.greeting_timeout, settings_.frame_timeout);
     }
     if (now - last_frame_ > timeout) {
-        callbacks_.on_event(EventKind::kFollower, "timed out waiting for a frame from the relay");
+        callbacks_.on_event(EventKind::kFollower, "nothing came from the relay for too long");
         callbacks_.disconnect();
         on_disconnected(now);
         return false;
@@ -153,7 +153,7 @@
         settings_.heartbeat_timeout * (1 << std::min(heartbeat_moves_, kMaxHeartbeatDoublings));
     if (now - last_heartbeat_ <= heartbeat_timeout || settings_.relays.size() <= 1) return true;
     ++heartbeat_moves_;
-    callbacks_.on_event(EventKind::kFollower, "timed out waiting for a newer heartbeat from the relay");
+    callbacks_.on_event(EventKind::kFollower, "the relay has had no beat for too long");
     callbacks_.disconnect();
     end_connection(now, jittered(settings_.max_backoff), heartbeat_timeout + jittered(heartbeat_timeout));
     return false;
